--- a/src/core/action.c
+++ b/src/core/action.c
@@ -5,7 +5,7 @@
   GArray *actions; /* struct act */
 };
 
-/* Drops the references that an action holds.  */
+/* Releases the references that an action holds.  */
 static void
 clear_action (gpointer data)
 {
@@ -38,7 +38,7 @@
   return list;
 }
 
-/* Frees LIST and what its actions refer to; NULL is allowed.  */
+/* Frees LIST and releases the references in its actions; NULL is allowed.  */
 void
 act_list_destroy (struct act_list *list)
 {
@@ -50,7 +50,7 @@
   g_free (list);
 }
 
-/* Empties LIST.  */
+/* Removes all actions and releases their references.  */
 void
 act_list_clear (struct act_list *list)
 {
@@ -64,14 +64,15 @@
   return list->actions->len;
 }
 
-/* Returns an action, valid until the list changes.  */
+/* Returns the action at INDEX, which is valid until the list changes.  */
 const struct act *
 act_list_get (const struct act_list *list, uint32_t index)
 {
   return &g_array_index (list->actions, struct act, index);
 }
 
-/* Appends ACTION.  The list takes over the references that it holds.  */
+/* Adds a copy of ACTION at the end.  The list takes over the references in
+   ACTION.  */
 void
 act_list_add (struct act_list *list, const struct act *action)
 {
--- a/src/core/action.h
+++ b/src/core/action.h
@@ -1,4 +1,6 @@
-/* Actions of the control machines: what the shell has to do. */
+/* Actions that the state machines of the control thread request.  The state
+   machines do no I/O: each of their functions adds actions to a list, which
+   the control thread then carries out. */
 #ifndef CORE_ACTION_H
 #define CORE_ACTION_H
 
@@ -8,19 +10,19 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ACT_STREAM_BYTES 32
+#define ACT_STREAM_BYTES 32 /* of a stream's name, with its final 0 */
 
 enum act_kind
 {
-  ACT_APPEND,         /* append to the log, then report by token */
-  ACT_ANSWER,         /* the final answer to a caller or operator */
-  ACT_DISPATCH,       /* the request's claim won: send it, once */
-  ACT_APPLY,          /* put a configuration in force */
-  ACT_ANSWER_PUBLISH, /* tell the publisher of a configuration */
-  ACT_ORDER           /* give an order to an endpoint */
+  ACT_APPEND,         /* append a record to the log, then report the result */
+  ACT_ANSWER,         /* send the final answer to a caller or operator */
+  ACT_DISPATCH,       /* send a call, once; its claim has won */
+  ACT_APPLY,          /* apply a configuration */
+  ACT_ANSWER_PUBLISH, /* answer the publisher of a configuration */
+  ACT_ORDER           /* order an endpoint to load or unload layers */
 };
 
-/* The machine that gets the result of an append. */
+/* The state machine that the result of an append is reported to. */
 enum act_owner
 {
   ACT_OWNER_CLAIMS,
@@ -33,15 +35,15 @@
 {
   enum act_owner owner;
   char stream[ACT_STREAM_BYTES];
-  uint64_t token;
-  GBytes *bytes;
+  uint64_t token; /* identifies the append to its owner */
+  GBytes *bytes;  /* the record */
 };
 
 struct act_answer
 {
   uint64_t request_id;
   enum err_kind kind; /* ERR_NONE: status and body are the recorded answer */
-  enum err_ran ran;
+  enum err_ran ran;   /* whether the call ran */
   uint32_t retry_after_s; /* 0: none */
   uint32_t status;        /* HTTP status of a recorded answer */
   GBytes *body;           /* may be NULL */
@@ -62,8 +64,8 @@
 struct act_answer_publish
 {
   uint64_t request_id;
-  enum err_kind kind; /* ERR_NONE: accepted as VERSION */
-  uint64_t version;   /* accepted, else the current one */
+  enum err_kind kind; /* ERR_NONE: the configuration was accepted */
+  uint64_t version;   /* of the accepted configuration, else the current one */
 };
 
 enum act_order_verb
@@ -77,9 +79,9 @@
   enum act_order_verb verb;
   uint32_t host;  /* index in the configuration */
   uint32_t model; /* index in the configuration */
-  uint32_t first;
-  uint32_t end; /* one past the last layer */
-  uint64_t fence;
+  uint32_t first; /* first layer */
+  uint32_t end;   /* one past the last layer */
+  uint64_t fence; /* fencing token of the lease */
 };
 
 struct act
@@ -96,6 +98,7 @@
   };
 };
 
+/* A list that owns the references in its actions. */
 struct act_list;
 
 struct act_list *act_list_create (void);
--- a/src/core/batch.c
+++ b/src/core/batch.c
@@ -2,23 +2,25 @@
 
 #include <string.h>
 
+/* Encoded size of an entry without its account, key and body; an estimate. */
 #define ENTRY_OVERHEAD_BYTES 64
 
 /* The waiting entries of one account. */
-struct lane
+struct account_queue
 {
-  GQueue durable; /* struct rec_entry; served first */
-  GQueue claims;  /* struct rec_entry */
-  uint32_t weight;
-  bool active; /* in the round */
+  GQueue durable;  /* struct rec_entry; served first */
+  GQueue claims;   /* struct rec_entry */
+  uint32_t weight; /* entries per turn */
+  bool is_ready;   /* in ready_accounts */
 };
 
 struct bat_queue
 {
-  GHashTable *lanes; /* account to struct lane */
-  GQueue round;      /* struct lane with entries, the next one at the head */
+  GHashTable *accounts;  /* account to struct account_queue */
+  GQueue ready_accounts; /* struct account_queue; those with entries, in the
+                            order of their turns */
   uint32_t claims_per_account;
-  uint32_t length;
+  uint32_t length; /* entries of all accounts */
 };
 
 static void
@@ -28,12 +30,12 @@
 }
 
 static void
-destroy_lane (gpointer data)
+destroy_account_queue (gpointer data)
 {
-  struct lane *lane = data;
-  g_queue_clear_full (&lane->durable, destroy_entry);
-  g_queue_clear_full (&lane->claims, destroy_entry);
-  g_free (lane);
+  struct account_queue *account_queue = data;
+  g_queue_clear_full (&account_queue->durable, destroy_entry);
+  g_queue_clear_full (&account_queue->claims, destroy_entry);
+  g_free (account_queue);
 }
 
 /* Creates an empty queue that holds at most CLAIMS_PER_ACCOUNT claims of one
@@ -42,9 +44,9 @@
 bat_queue_create (uint32_t claims_per_account)
 {
   struct bat_queue *queue = g_new0 (struct bat_queue, 1);
-  queue->lanes
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, destroy_lane);
-  g_queue_init (&queue->round);
+  queue->accounts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                           destroy_account_queue);
+  g_queue_init (&queue->ready_accounts);
   queue->claims_per_account = claims_per_account;
   return queue;
 }
@@ -57,80 +59,89 @@
     {
       return;
     }
-  g_queue_clear (&queue->round);
-  g_hash_table_destroy (queue->lanes);
+  g_queue_clear (&queue->ready_accounts);
+  g_hash_table_destroy (queue->accounts);
   g_free (queue);
 }
 
-static struct lane *
-find_lane (struct bat_queue *queue, const char *account)
+/* Returns the queue of ACCOUNT, which is created if there is none.  */
+static struct account_queue *
+find_account_queue (struct bat_queue *queue, const char *account)
 {
-  struct lane *lane = g_hash_table_lookup (queue->lanes, account);
-  if (lane == NULL)
+  struct account_queue *account_queue
+      = g_hash_table_lookup (queue->accounts, account);
+  if (account_queue == NULL)
     {
-      lane = g_new0 (struct lane, 1);
-      g_queue_init (&lane->durable);
-      g_queue_init (&lane->claims);
-      lane->weight = 1;
-      g_hash_table_insert (queue->lanes, g_strdup (account), lane);
+      account_queue = g_new0 (struct account_queue, 1);
+      g_queue_init (&account_queue->durable);
+      g_queue_init (&account_queue->claims);
+      account_queue->weight = 1;
+      g_hash_table_insert (queue->accounts, g_strdup (account), account_queue);
     }
-  return lane;
+  return account_queue;
 }
 
-/* Lets ACCOUNT have WEIGHT entries in each round; 0 counts as 1.  */
+/* Sets the number of entries that ACCOUNT may place into a batch in one turn
+   to WEIGHT; 0 counts as 1.  The default is 1.  */
 void
 bat_set_weight (struct bat_queue *queue, const char *account, uint32_t weight)
 {
-  find_lane (queue, account)->weight = MAX (weight, 1);
+  find_account_queue (queue, account)->weight = MAX (weight, 1);
 }
 
+/* Counts an entry that was added to ACCOUNT_QUEUE and gives the account a turn
+   if it has none.  */
 static void
-activate (struct bat_queue *queue, struct lane *lane)
+note_added (struct bat_queue *queue, struct account_queue *account_queue)
 {
   queue->length++;
-  if (!lane->active)
+  if (!account_queue->is_ready)
     {
-      lane->active = true;
-      g_queue_push_tail (&queue->round, lane);
+      account_queue->is_ready = true;
+      g_queue_push_tail (&queue->ready_accounts, account_queue);
     }
 }
 
-/* Queues a claim and takes it over.  Returns false, and leaves the entry with
-   the caller, when the account has too many waiting.  */
+/* Queues the claim ENTRY and takes it over.  Returns false, and leaves ENTRY
+   to the caller, when the account has too many claims waiting.  */
 bool
 bat_add_claim (struct bat_queue *queue, struct rec_entry *entry)
 {
-  struct lane *lane = find_lane (queue, entry->account);
-  if (lane->claims.length >= queue->claims_per_account)
+  struct account_queue *account_queue
+      = find_account_queue (queue, entry->account);
+  if (account_queue->claims.length >= queue->claims_per_account)
     {
       return false;
     }
-  g_queue_push_tail (&lane->claims, entry);
-  activate (queue, lane);
+  g_queue_push_tail (&account_queue->claims, entry);
+  note_added (queue, account_queue);
   return true;
 }
 
-/* Queues an entry that has to reach the log, and takes it over.  There are no
-   more of them than there were claims, so that they are not bounded.  */
+/* Queues ENTRY, which has to reach the log, and takes it over.  No limit is
+   needed: there are no more such entries than there were claims.  */
 void
 bat_add_durable (struct bat_queue *queue, struct rec_entry *entry)
 {
-  struct lane *lane = find_lane (queue, entry->account);
-  g_queue_push_tail (&lane->durable, entry);
-  activate (queue, lane);
+  struct account_queue *account_queue
+      = find_account_queue (queue, entry->account);
+  g_queue_push_tail (&account_queue->durable, entry);
+  note_added (queue, account_queue);
 }
 
-/* Drops the claim NONCE of ACCOUNT.  Returns false when it is not waiting.  */
+/* Removes and frees the claim NONCE of ACCOUNT.  Returns false when there is
+   no such claim in the queue.  */
 bool
 bat_remove_claim (struct bat_queue *queue, const char *account, uint64_t nonce)
 {
-  struct lane *lane = find_lane (queue, account);
-  for (GList *link = lane->claims.head; link != NULL; link = link->next)
+  struct account_queue *account_queue = find_account_queue (queue, account);
+  for (GList *link = account_queue->claims.head; link != NULL;
+       link = link->next)
     {
       struct rec_entry *entry = link->data;
       if (entry->nonce == nonce)
         {
-          g_queue_delete_link (&lane->claims, link);
+          g_queue_delete_link (&account_queue->claims, link);
           rec_entry_destroy (entry);
           queue->length--;
           return true;
@@ -148,20 +159,21 @@
 }
 
 static GQueue *
-next_source (struct lane *lane)
+next_queue (struct account_queue *account_queue)
 {
-  return lane->durable.length > 0 ? &lane->durable : &lane->claims;
+  return account_queue->durable.length > 0 ? &account_queue->durable
+                                           : &account_queue->claims;
 }
 
-/* Takes at most LANE's weight of entries.  Returns false once the batch is
-   full.  */
+/* Moves up to ACCOUNT_QUEUE's weight of entries to BATCH.  Returns false when
+   BATCH is full.  */
 static bool
-take_turn (struct bat_queue *queue, struct lane *lane, GPtrArray *batch,
-           uint32_t max_entries, uint32_t *bytes_left)
+take_entries (struct bat_queue *queue, struct account_queue *account_queue,
+              GPtrArray *batch, uint32_t max_entries, uint32_t *bytes_left)
 {
-  for (uint32_t i = 0; i < lane->weight; i++)
+  for (uint32_t i = 0; i < account_queue->weight; i++)
     {
-      GQueue *source = next_source (lane);
+      GQueue *source = next_queue (account_queue);
       struct rec_entry *entry = g_queue_peek_head (source);
       if (entry == NULL)
         {
@@ -179,33 +191,36 @@
   return true;
 }
 
-/* Takes entries for one append: a weighted round robin over the accounts.
-   Returns an array of struct rec_entry that owns them, empty when nothing
-   waits.  */
+/* Takes entries for one append, by weighted round robin over the accounts: at
+   most MAX_ENTRIES, with an estimated size of at most MAX_BYTES unless the
+   first entry alone is larger.  Returns an array that owns its entries (struct
+   rec_entry); it is empty when no entry waits.  */
 GPtrArray *
 bat_take (struct bat_queue *queue, uint32_t max_entries, uint32_t max_bytes)
 {
   GPtrArray *batch = g_ptr_array_new_with_free_func (destroy_entry);
   uint32_t bytes_left = max_bytes;
-  bool room = true;
-  while (room && queue->round.length > 0)
+  bool has_space = true;
+  while (has_space && queue->ready_accounts.length > 0)
     {
-      struct lane *lane = g_queue_pop_head (&queue->round);
-      room = take_turn (queue, lane, batch, max_entries, &bytes_left);
-      lane->active = next_source (lane)->length > 0;
-      if (lane->active && room)
+      struct account_queue *account_queue
+          = g_queue_pop_head (&queue->ready_accounts);
+      has_space = take_entries (queue, account_queue, batch, max_entries,
+                                &bytes_left);
+      account_queue->is_ready = next_queue (account_queue)->length > 0;
+      if (account_queue->is_ready && has_space)
         {
-          g_queue_push_tail (&queue->round, lane);
+          g_queue_push_tail (&queue->ready_accounts, account_queue);
         }
-      else if (lane->active)
+      else if (account_queue->is_ready)
         {
-          g_queue_push_head (&queue->round, lane);
+          g_queue_push_head (&queue->ready_accounts, account_queue);
         }
     }
   return batch;
 }
 
-/* Returns the number of waiting entries.  */
+/* Returns the number of waiting entries of all accounts.  */
 uint32_t
 bat_length (const struct bat_queue *queue)
 {
--- a/src/core/batch.h
+++ b/src/core/batch.h
@@ -1,4 +1,9 @@
-/* Entries that wait for an append, shared out fairly between accounts. */
+/* A queue of entries that wait for an append to the log.  Batches are taken by
+   weighted round robin over the accounts.
+
+   Each account has two queues.  Durable entries are those that have to reach
+   the log, such as releases and outcomes; they come before claims, which are
+   limited in number and can be removed again. */
 #ifndef CORE_BATCH_H
 #define CORE_BATCH_H
 
--- a/src/core/snapshot.h
+++ b/src/core/snapshot.h
@@ -1,24 +1,27 @@
-/* The routing snapshot: what a traffic thread may know of the fleet.  Built by
-   the control thread, immutable, published with liburcu. */
+/* The routing snapshot: the state of all endpoints from which traffic threads
+   choose chains.  The control thread builds it and publishes it with liburcu;
+   once published it does not change, except for the loads that it points to.
+   */
 #ifndef CORE_SNAPSHOT_H
 #define CORE_SNAPSHOT_H
 
 #include "core/config.h"
 #include "core/load.h"
 
-#define SNAP_RANGES_MAX 8
+#define SNAP_RANGES_MAX 8 /* of one endpoint */
 
+/* A range of a model's layers that an endpoint serves. */
 struct snap_range
 {
   uint32_t model; /* index in the configuration */
-  uint32_t first;
-  uint32_t end; /* one past the last layer */
+  uint32_t first; /* first layer */
+  uint32_t end;   /* one past the last layer */
 };
 
 struct snap_endpoint
 {
   uint32_t host;   /* index in the configuration */
-  bool takes_work; /* neither leaving, draining nor dead */
+  bool takes_work; /* not leaving, draining or dead */
   struct snap_range ranges[SNAP_RANGES_MAX];
   uint32_t range_count;
   int64_t link_delay_us; /* one way, from this daemon's data centre */
@@ -32,7 +35,7 @@
   struct snap_endpoint *endpoints; /* one for each host of the configuration */
   uint32_t endpoint_count;
   uint32_t daemons; /* ready daemons, this one included; at least 1 */
-  uint64_t fence;   /* routing snapshots of one daemon only rise */
+  uint64_t fence;   /* not used */
 };
 
 #endif
