--- a/src/core/orders.c
+++ b/src/core/orders.c
@@ -2,54 +2,54 @@
 
 #define S_US INT64_C (1000000)
 
-/* What one engine reported last. */
+/* The latest report of one engine. */
 struct host
 {
-  bool reported;
+  bool reported; /* at least once */
   bool takes_work;
-  int64_t reported_us;
-  int64_t refused_us; /* when it refused an order; 0: never */
-  GArray *held;       /* struct ord_held */
+  int64_t reported_us; /* when the report was requested */
+  int64_t refused_us;  /* when it last refused an order; 0: never */
+  GArray *held;        /* struct ord_held */
 };
 
-/* A range that is wanted on a host. */
+/* A range of the wanted placement. */
 struct wanted
 {
   struct ord_range range;
-  bool was_ready; /* reported ready since it is wanted */
+  bool was_ready; /* in the latest report of its host */
 };
 
-/* An order whose effect was not reported yet. */
-struct given
+/* An order whose effect has not been reported yet. */
+struct pending_order
 {
   enum act_order_verb verb;
   struct ord_range range;
-  int64_t given_us;
+  int64_t sent_us;
 };
 
 struct ord
 {
   struct ord_params params;
-  GPtrArray *hosts; /* struct host or NULL, by index */
-  GArray *wanted;   /* struct wanted */
-  bool planned;     /* WANTED was set */
-  GArray *given;    /* struct given */
-  bool held;
-  uint64_t fence;
-  int64_t held_since_us;
-  int64_t next_load_us;
+  GPtrArray *hosts;   /* struct host or NULL, by index */
+  GArray *wanted;     /* struct wanted */
+  bool placement_set; /* wanted was set */
+  GArray *pending;    /* struct pending_order */
+  bool lease_held;
+  uint64_t fence;         /* fencing token of the lease */
+  int64_t lease_since_us; /* when this daemon acquired the lease */
+  int64_t next_load_us;   /* no load is ordered before */
   struct ord_stats stats;
 };
 
-/* Returns the usual parameters.  */
+/* Returns the default parameters.  */
 struct ord_params
 ord_params_default (void)
 {
   return (struct ord_params){
     .load_interval_us = 2 * S_US,
-    .loads_at_once = 4,
-    .resend_us = 10 * S_US,
-    .refused_us = 5 * S_US,
+    .max_concurrent_loads = 4,
+    .resend_after_us = 10 * S_US,
+    .refusal_pause_us = 5 * S_US,
     .stale_us = 10 * S_US,
     .report_lag_us = 2 * S_US,
   };
@@ -66,8 +66,8 @@
     }
 }
 
-/* Creates the machine; it gives no orders before it holds the lease and has
-   reports.  */
+/* Creates the state machine.  It gives no orders before this daemon holds the
+   lease, the wanted placement is set, and engines have reported.  */
 struct ord *
 ord_create (const struct ord_params *params)
 {
@@ -75,7 +75,7 @@
   ord->params = *params;
   ord->hosts = g_ptr_array_new_with_free_func (destroy_host);
   ord->wanted = g_array_new (FALSE, FALSE, sizeof (struct wanted));
-  ord->given = g_array_new (FALSE, FALSE, sizeof (struct given));
+  ord->pending = g_array_new (FALSE, FALSE, sizeof (struct pending_order));
   return ord;
 }
 
@@ -89,7 +89,7 @@
     }
   g_ptr_array_free (ord->hosts, TRUE);
   g_array_free (ord->wanted, TRUE);
-  g_array_free (ord->given, TRUE);
+  g_array_free (ord->pending, TRUE);
   g_free (ord);
 }
 
@@ -137,7 +137,7 @@
   return NULL;
 }
 
-/* Sets the placement that is wanted: COUNT ranges, in order of urgency.  */
+/* Sets the wanted placement: COUNT ranges, which are loaded in this order.  */
 void
 ord_set_wanted (struct ord *ord, const struct ord_range *ranges,
                 uint32_t count)
@@ -151,13 +151,14 @@
     }
   g_array_free (ord->wanted, TRUE);
   ord->wanted = wanted;
-  ord->planned = true;
+  ord->placement_set = true;
 }
 
-/* Counts wanted ranges of HOST that were ready and are gone: another holder's
-   order, or a restart.  */
+/* Counts the wanted ranges of HOST that were ready in its previous report and
+   are missing now, because of an order of another lease holder or a restart of
+   the engine.  */
 static void
-note_changes (struct ord *ord, uint32_t host)
+count_lost_ranges (struct ord *ord, uint32_t host)
 {
   for (guint i = 0; i < ord->wanted->len; i++)
     {
@@ -169,32 +170,33 @@
       const struct ord_held *held = find_held (ord, &wanted->range);
       if (held == NULL && wanted->was_ready)
         {
-          ord->stats.contrary++;
+          ord->stats.lost_ranges++;
         }
       wanted->was_ready = held != NULL && held->ready;
     }
 }
 
-/* Forgets orders to HOST whose effect is reported.  */
+/* Removes the pending orders to HOST whose effect is in its report.  */
 static void
-forget_done (struct ord *ord, uint32_t host)
+remove_completed (struct ord *ord, uint32_t host)
 {
-  for (guint i = ord->given->len; i > 0; i--)
+  for (guint i = ord->pending->len; i > 0; i--)
     {
-      const struct given *given
-          = &g_array_index (ord->given, struct given, i - 1);
-      bool holds = find_held (ord, &given->range) != NULL;
-      if (given->range.host == host
-          && holds == (given->verb == ACT_ORDER_LOAD))
+      const struct pending_order *pending
+          = &g_array_index (ord->pending, struct pending_order, i - 1);
+      bool holds = find_held (ord, &pending->range) != NULL;
+      if (pending->range.host == host
+          && holds == (pending->verb == ACT_ORDER_LOAD))
         {
-          g_array_remove_index (ord->given, i - 1);
+          g_array_remove_index (ord->pending, i - 1);
         }
     }
 }
 
-/* Engine HOST reports the COUNT ranges in HELD.  TAKES_WORK is false while it
-   leaves: its copies count no longer, and it gets no orders.  NOW_US is when
-   the report was asked for.  */
+/* Applies a report of the engine HOST, which holds the COUNT ranges in HELD.
+   TAKES_WORK is false while the engine is leaving: then its copies do not
+   count as replacements, and it gets no orders.  NOW_US is the time at which
+   the report was requested.  */
 void
 ord_report (struct ord *ord, uint32_t host, const struct ord_held *held,
             uint32_t count, bool takes_work, int64_t now_us)
@@ -215,20 +217,21 @@
   entry->reported = true;
   entry->takes_work = takes_work;
   entry->reported_us = now_us;
-  note_changes (ord, host);
-  forget_done (ord, host);
+  count_lost_ranges (ord, host);
+  remove_completed (ord, host);
 }
 
 static bool
-order_of (const struct given *given, const struct act_order *order)
+matches_order (const struct pending_order *pending,
+               const struct act_order *order)
 {
   const struct ord_range range
       = { order->host, order->model, order->first, order->end };
-  return given->verb == order->verb && same_range (&given->range, &range);
+  return pending->verb == order->verb && same_range (&pending->range, &range);
 }
 
-/* An engine refused ORDER, or it could not be sent.  It is tried again after a
-   pause.  */
+/* Handles that an engine refused ORDER, or that ORDER could not be sent.  The
+   host gets no orders for refusal_pause_us.  */
 void
 ord_refused (struct ord *ord, const struct act_order *order, int64_t now_us)
 {
@@ -237,47 +240,56 @@
     {
       host->refused_us = now_us;
     }
-  for (guint i = ord->given->len; i > 0; i--)
+  for (guint i = ord->pending->len; i > 0; i--)
     {
-      if (order_of (&g_array_index (ord->given, struct given, i - 1), order))
+      if (matches_order (
+              &g_array_index (ord->pending, struct pending_order, i - 1),
+              order))
         {
-          g_array_remove_index (ord->given, i - 1);
+          g_array_remove_index (ord->pending, i - 1);
         }
     }
 }
 
-/* Tells whether this daemon holds the lease, and its fencing number.  What an
-   earlier holder ordered is unknown: only reports since then count.  */
+/* Sets whether this daemon holds the lease, and its fencing token FENCE.  With
+   a new lease all pending orders are discarded, and only reports since then
+   are used: the orders of the earlier holder are unknown.  */
 void
 ord_lease (struct ord *ord, bool held, uint64_t fence, int64_t now_us)
 {
-  if (held && (!ord->held || fence != ord->fence))
+  if (held && (!ord->lease_held || fence != ord->fence))
     {
-      ord->held_since_us = now_us;
-      g_array_set_size (ord->given, 0);
+      ord->lease_since_us = now_us;
+      g_array_set_size (ord->pending, 0);
     }
-  ord->held = held;
+  ord->lease_held = held;
   ord->fence = fence;
 }
 
-/* Returns whether the report of HOST may be acted upon.  */
+/* Returns whether decisions may be based on the report of HOST, which may be
+   NULL: it is recent, was made under the current lease, and HOST takes work.
+ */
 static bool
-report_counts (const struct ord *ord, const struct host *host, int64_t now_us)
+report_usable (const struct ord *ord, const struct host *host, int64_t now_us)
 {
   return host != NULL && host->reported && host->takes_work
-         && host->reported_us >= ord->held_since_us + ord->params.report_lag_us
+         && host->reported_us
+                >= ord->lease_since_us + ord->params.report_lag_us
          && now_us - host->reported_us <= ord->params.stale_us;
 }
 
+/* Returns whether an order for RANGE is pending and not due to be sent again.
+ */
 static bool
-was_given (const struct ord *ord, const struct ord_range *range,
-           int64_t now_us)
+is_pending (const struct ord *ord, const struct ord_range *range,
+            int64_t now_us)
 {
-  for (guint i = 0; i < ord->given->len; i++)
+  for (guint i = 0; i < ord->pending->len; i++)
     {
-      const struct given *given = &g_array_index (ord->given, struct given, i);
-      if (same_range (&given->range, range)
-          && now_us - given->given_us < ord->params.resend_us)
+      const struct pending_order *pending
+          = &g_array_index (ord->pending, struct pending_order, i);
+      if (same_range (&pending->range, range)
+          && now_us - pending->sent_us < ord->params.resend_after_us)
         {
           return true;
         }
@@ -285,30 +297,32 @@
   return false;
 }
 
-/* Returns whether HOST can be ordered now.  */
+/* Returns whether an order may be sent to HOST now.  */
 static bool
-host_open (const struct ord *ord, const struct host *host, int64_t now_us)
+accepts_orders (const struct ord *ord, const struct host *host, int64_t now_us)
 {
-  return report_counts (ord, host, now_us)
+  return report_usable (ord, host, now_us)
          && (host->refused_us == 0
-             || now_us - host->refused_us >= ord->params.refused_us);
+             || now_us - host->refused_us >= ord->params.refusal_pause_us);
 }
 
+/* Orders VERB for RANGE, in place of any pending order for the same range.  */
 static void
-give (struct ord *ord, enum act_order_verb verb, const struct ord_range *range,
-      int64_t now_us, struct act_list *actions)
+send_order (struct ord *ord, enum act_order_verb verb,
+            const struct ord_range *range, int64_t now_us,
+            struct act_list *actions)
 {
-  for (guint i = ord->given->len; i > 0; i--)
+  for (guint i = ord->pending->len; i > 0; i--)
     {
-      const struct given *before
-          = &g_array_index (ord->given, struct given, i - 1);
+      const struct pending_order *before
+          = &g_array_index (ord->pending, struct pending_order, i - 1);
       if (same_range (&before->range, range))
         {
-          g_array_remove_index (ord->given, i - 1);
+          g_array_remove_index (ord->pending, i - 1);
         }
     }
-  struct given given = { verb, *range, now_us };
-  g_array_append_val (ord->given, given);
+  struct pending_order order = { verb, *range, now_us };
+  g_array_append_val (ord->pending, order);
   struct act action = { .kind = ACT_ORDER };
   action.order = (struct act_order){ .verb = verb,
                                      .host = range->host,
@@ -319,11 +333,10 @@
   act_list_add (actions, &action);
 }
 
-/* Returns whether a wanted copy other than RANGE that is ready holds
-   LAYER.  */
+/* Returns whether LAYER is ready in a wanted copy other than RANGE.  */
 static bool
-layer_replaced (const struct ord *ord, const struct ord_range *range,
-                uint32_t layer, int64_t now_us)
+layer_ready_elsewhere (const struct ord *ord, const struct ord_range *range,
+                       uint32_t layer, int64_t now_us)
 {
   for (guint i = 0; i < ord->wanted->len; i++)
     {
@@ -336,7 +349,7 @@
         }
       const struct ord_held *held = find_held (ord, other);
       if (held != NULL && held->ready
-          && report_counts (ord, find_host (ord, other->host), now_us))
+          && report_usable (ord, find_host (ord, other->host), now_us))
         {
           return true;
         }
@@ -344,6 +357,7 @@
   return false;
 }
 
+/* Returns whether LAYER of MODEL is part of the wanted placement.  */
 static bool
 layer_wanted (const struct ord *ord, uint32_t model, uint32_t layer)
 {
@@ -359,8 +373,8 @@
   return false;
 }
 
-/* Returns whether RANGE may go: each of its layers is ready on another wanted
-   copy, or not wanted anywhere.  */
+/* Returns whether RANGE may be unloaded: each of its layers is ready in
+   another wanted copy, or not wanted on any host.  */
 static bool
 may_unload (const struct ord *ord, const struct ord_range *range,
             int64_t now_us)
@@ -368,7 +382,7 @@
   for (uint32_t layer = range->first; layer < range->end; layer++)
     {
       if (layer_wanted (ord, range->model, layer)
-          && !layer_replaced (ord, range, layer, now_us))
+          && !layer_ready_elsewhere (ord, range, layer, now_us))
         {
           return false;
         }
@@ -376,15 +390,16 @@
   return true;
 }
 
+/* Orders HOST to unload the ranges that are not wanted there.  */
 static void
-unload_host (struct ord *ord, const struct host *host, int64_t now_us,
-             struct act_list *actions)
+unload_unwanted (struct ord *ord, const struct host *host, int64_t now_us,
+                 struct act_list *actions)
 {
   for (guint i = 0; i < host->held->len; i++)
     {
       const struct ord_range *range
           = &g_array_index (host->held, struct ord_held, i).range;
-      if (find_wanted (ord, range) != NULL || was_given (ord, range, now_us))
+      if (find_wanted (ord, range) != NULL || is_pending (ord, range, now_us))
         {
           continue;
         }
@@ -393,12 +408,12 @@
           ord->stats.unloads_blocked++;
           continue;
         }
-      give (ord, ACT_ORDER_UNLOAD, range, now_us, actions);
+      send_order (ord, ACT_ORDER_UNLOAD, range, now_us, actions);
     }
 }
 
-/* Returns how many loads are under way: reported, or ordered and not seen
-   yet.  */
+/* Returns the number of loads in progress: reported as loading, or ordered and
+   not reported yet.  */
 static uint32_t
 count_loads (const struct ord *ord, int64_t now_us)
 {
@@ -407,22 +422,24 @@
     {
       const struct host *host = find_host (ord, i);
       for (guint j = 0;
-           report_counts (ord, host, now_us) && j < host->held->len; j++)
+           report_usable (ord, host, now_us) && j < host->held->len; j++)
         {
           count
               += g_array_index (host->held, struct ord_held, j).ready ? 0 : 1;
         }
     }
-  for (guint i = 0; i < ord->given->len; i++)
+  for (guint i = 0; i < ord->pending->len; i++)
     {
-      const struct given *given = &g_array_index (ord->given, struct given, i);
-      bool recent = now_us - given->given_us < ord->params.resend_us;
-      count += given->verb == ACT_ORDER_LOAD && recent ? 1 : 0;
+      const struct pending_order *pending
+          = &g_array_index (ord->pending, struct pending_order, i);
+      bool recent = now_us - pending->sent_us < ord->params.resend_after_us;
+      count += pending->verb == ACT_ORDER_LOAD && recent ? 1 : 0;
     }
   return count;
 }
 
-/* Gives loads, spaced by the weight store's rate.  */
+/* Orders loads of the wanted ranges that their hosts do not hold, within the
+   limits for the weight store.  */
 static void
 load_wanted (struct ord *ord, int64_t now_us, struct act_list *actions)
 {
@@ -431,46 +448,47 @@
     {
       const struct ord_range *range
           = &g_array_index (ord->wanted, struct wanted, i).range;
-      if (!host_open (ord, find_host (ord, range->host), now_us)
-          || find_held (ord, range) != NULL || was_given (ord, range, now_us))
+      if (!accepts_orders (ord, find_host (ord, range->host), now_us)
+          || find_held (ord, range) != NULL || is_pending (ord, range, now_us))
         {
           continue;
         }
-      if (under_way >= ord->params.loads_at_once || now_us < ord->next_load_us)
+      if (under_way >= ord->params.max_concurrent_loads
+          || now_us < ord->next_load_us)
         {
           ord->stats.loads_waiting++;
           continue;
         }
       ord->next_load_us = now_us + ord->params.load_interval_us;
       under_way++;
-      give (ord, ACT_ORDER_LOAD, range, now_us, actions);
+      send_order (ord, ACT_ORDER_LOAD, range, now_us, actions);
     }
   ord->stats.loads_under_way = under_way;
 }
 
-/* Compares what is wanted with what is reported and gives the orders that are
+/* Compares the wanted placement with the reports and gives the orders that are
    due.  ord_lease () has to be called just before.  */
 void
 ord_tick (struct ord *ord, int64_t now_us, struct act_list *actions)
 {
   ord->stats.loads_waiting = 0;
   ord->stats.unloads_blocked = 0;
-  if (!ord->held || !ord->planned)
+  if (!ord->lease_held || !ord->placement_set)
     {
       return;
     }
   for (guint i = 0; i < ord->hosts->len; i++)
     {
       const struct host *host = find_host (ord, i);
-      if (host_open (ord, host, now_us))
+      if (accepts_orders (ord, host, now_us))
         {
-          unload_host (ord, host, now_us, actions);
+          unload_unwanted (ord, host, now_us, actions);
         }
     }
   load_wanted (ord, now_us, actions);
 }
 
-/* Returns the figures of the last tick.  */
+/* Returns the counters; all but lost_ranges are those of the latest tick.  */
 struct ord_stats
 ord_stats (const struct ord *ord)
 {
--- a/src/core/orders.h
+++ b/src/core/orders.h
@@ -1,7 +1,14 @@
-/* Orders to engines: from the placement that is wanted and the ranges that
-   engines report, which loads and unloads to give now.  Declarative: what an
-   engine reports is compared again and again, so that a contrary order of a
-   former lease holder is put right. */
+/* Decides which ranges of layers engines are ordered to load and unload, so
+   that what the engines hold converges to the wanted placement.
+
+   The wanted placement is compared with every new report of an engine, not
+   just with earlier orders, so that the effect of a late order of a former
+   lease holder is corrected.  The last ready copy of a wanted layer is never
+   unloaded.
+
+   This is a state machine without I/O: the daemon's control thread passes
+   events in with the current monotonic time, and carries out the actions that
+   come back. */
 #ifndef CORE_ORDERS_H
 #define CORE_ORDERS_H
 
@@ -9,34 +16,37 @@
 
 struct ord_params
 {
-  int64_t load_interval_us; /* between two loads: the weight store's rate */
-  uint32_t loads_at_once;   /* under way in the whole fleet */
-  int64_t resend_us;        /* an order that had no effect is given again */
-  int64_t refused_us;       /* pause after a refusal of a host */
-  int64_t stale_us;         /* older reports don't count */
-  int64_t report_lag_us;    /* of what engines report */
+  int64_t load_interval_us;      /* minimum between two loads, since all of
+                                    them read from the weight store */
+  uint32_t max_concurrent_loads; /* on all hosts together */
+  int64_t resend_after_us;       /* an order without effect is sent again */
+  int64_t refusal_pause_us;      /* a host that refused an order gets none */
+  int64_t stale_us;              /* older reports are not used */
+  int64_t report_lag_us;         /* by which a report may be out of date */
 };
 
+/* A range of a model's layers on a host. */
 struct ord_range
 {
   uint32_t host;  /* index in the configuration */
   uint32_t model; /* index in the configuration */
-  uint32_t first;
-  uint32_t end; /* one past the last layer */
+  uint32_t first; /* first layer */
+  uint32_t end;   /* one past the last layer */
 };
 
+/* A range that an engine reports. */
 struct ord_held
 {
   struct ord_range range;
-  bool ready; /* else it is loading */
+  bool ready; /* otherwise it is loading */
 };
 
 struct ord_stats
 {
-  uint32_t loads_waiting; /* for their turn at the weight store */
+  uint32_t loads_waiting; /* due, but held back by the limits on loads */
   uint32_t loads_under_way;
-  uint32_t unloads_blocked; /* last copies without a ready replacement */
-  uint64_t contrary;        /* ranges that went although they are wanted */
+  uint32_t unloads_blocked; /* copies that have no ready replacement yet */
+  uint64_t lost_ranges;     /* wanted ranges that disappeared; total */
 };
 
 struct ord;
--- a/test/orders_test.c
+++ b/test/orders_test.c
@@ -6,7 +6,7 @@
 
 #include <cmocka.h>
 
-/* Steps name only the operands that they have.  */
+/* Steps set only the operands that they use.  */
 #pragma GCC diagnostic ignored "-Wmissing-field-initializers"
 
 #define HOSTS 4
@@ -20,12 +20,15 @@
 struct engine
 {
   GArray *held;  /* struct ord_held */
-  GArray *since; /* int64_t: when each load began */
-  bool silent;
+  GArray *since; /* int64_t: when each load began, in the order of held */
+  bool silent;   /* sends no reports */
   bool leaving;
 };
 
-struct bench
+/* The state machine under test, engines that carry out its orders, and the
+   orders seen so far. */
+
+struct fixture
 {
   struct ord *ord;
   struct act_list *actions;
@@ -38,7 +41,8 @@
   uint64_t fence;
   bool lose_orders;
   bool refuse_orders;
-  uint32_t cover; /* layers that have to be ready at every step; 0: none */
+  uint32_t layers_kept_ready; /* layers 0 to this one less 1 have to be ready
+                                 at every step */
   uint32_t loads;
   uint32_t unloads;
   int64_t last_load_us;
@@ -47,25 +51,25 @@
 enum op
 {
   END,
-  HOLD,    /* host, first, end: ready there from the start */
-  WANT,    /* host, first, end */
-  NO_WANT, /* wants nothing, until the next WANT */
-  LEASE,   /* fence; 0: lost */
-  RUN,     /* ms */
-  COVER,   /* layers */
-  ADD,     /* host, first, end: another daemon's load has come late */
-  DROP,    /* host, first, end: another daemon's unload has come late */
-  LOSE,    /* orders, or not */
-  REFUSE,  /* orders, or not */
-  SILENT,  /* host */
-  SPEAKS,  /* host */
-  LEAVES,  /* host */
-  HOLDS,   /* host, first, end */
-  LACKS,   /* host, first, end */
-  LOADS,   /* at least, at most: orders so far */
-  UNLOADS, /* at least, at most */
-  BLOCKED, /* unloads */
-  CONTRARY /* changes */
+  START_WITH,     /* host, first, end: ready there from the start */
+  WANT,           /* host, first, end: added to the wanted placement */
+  WANT_NOTHING,   /* empties the wanted placement */
+  LEASE,          /* fencing token; 0: the lease is lost */
+  RUN,            /* ms */
+  KEEP_READY,     /* layers that have to be ready at every step */
+  LATE_LOAD,      /* host, first, end: executes another daemon's late order */
+  LATE_UNLOAD,    /* host, first, end: executes another daemon's late order */
+  LOSE_ORDERS,    /* true or false */
+  REFUSE_ORDERS,  /* true or false */
+  STOP_REPORTS,   /* host */
+  RESUME_REPORTS, /* host */
+  LEAVE,          /* host */
+  HOLDS,          /* host, first, end */
+  LACKS,          /* host, first, end */
+  LOADS,          /* minimum and maximum of orders so far */
+  UNLOADS,        /* minimum and maximum of orders so far */
+  BLOCKED,        /* number of unloads */
+  LOST_RANGES     /* number */
 };
 
 struct step
@@ -76,14 +80,14 @@
   uint32_t c;
 };
 
-struct row
+struct scenario
 {
   const char *name;
   struct step steps[STEPS_MAX];
 };
 
-static const struct row rows[] = {
-  { "loads are spaced and queued",
+static const struct scenario scenarios[] = {
+  { "loads are rate-limited",
     { { WANT, 0, 0, 8 },
       { WANT, 1, 8, 16 },
       { WANT, 2, 0, 8 },
@@ -97,11 +101,14 @@
       { LOADS, 4, 4 },
       { HOLDS, 0, 0, 8 },
       { HOLDS, 3, 8, 16 } } },
-  { "without the lease no orders",
+  { "a daemon without the lease gives no orders",
     { { WANT, 0, 0, 8 }, { RUN, 20000 }, { LOADS, 0, 0 } } },
-  { "without a placement no orders",
-    { { HOLD, 0, 0, 8 }, { LEASE, 7 }, { RUN, 20000 }, { UNLOADS, 0, 0 } } },
-  { "a lease that was lost ends the orders",
+  { "no orders are given before the wanted placement is set",
+    { { START_WITH, 0, 0, 8 },
+      { LEASE, 7 },
+      { RUN, 20000 },
+      { UNLOADS, 0, 0 } } },
+  { "no orders are given after the lease is lost",
     { { WANT, 0, 0, 8 },
       { LEASE, 7 },
       { RUN, 1000 },
@@ -111,9 +118,9 @@
       { LEASE, 8 },
       { RUN, 20000 },
       { LOADS, 1, 1 } } },
-  { "the last copy stays until its replacement is ready",
-    { { HOLD, 0, 0, 16 },
-      { COVER, 16 },
+  { "the last copy is not unloaded before its replacement is ready",
+    { { START_WITH, 0, 0, 16 },
+      { KEEP_READY, 16 },
       { WANT, 1, 0, 8 },
       { WANT, 2, 8, 16 },
       { LEASE, 7 },
@@ -125,103 +132,103 @@
       { LACKS, 0, 0, 16 },
       { HOLDS, 1, 0, 8 },
       { HOLDS, 2, 8, 16 } } },
-  { "a replacement that is silent doesn't count",
-    { { HOLD, 0, 0, 16 },
-      { HOLD, 1, 0, 16 },
-      { COVER, 16 },
+  { "a copy on an engine that has never reported is no replacement",
+    { { START_WITH, 0, 0, 16 },
+      { START_WITH, 1, 0, 16 },
+      { KEEP_READY, 16 },
       { WANT, 1, 0, 16 },
-      { SILENT, 1 },
+      { STOP_REPORTS, 1 },
       { LEASE, 7 },
       { RUN, 30000 },
       { UNLOADS, 0, 0 },
-      { SPEAKS, 1 },
+      { RESUME_REPORTS, 1 },
       { RUN, 5000 },
       { UNLOADS, 1, 1 } } },
-  { "a replacement that has fallen silent doesn't count",
-    { { HOLD, 0, 0, 16 },
-      { HOLD, 1, 0, 16 },
-      { COVER, 16 },
+  { "a copy on an engine that stopped reporting is no replacement",
+    { { START_WITH, 0, 0, 16 },
+      { START_WITH, 1, 0, 16 },
+      { KEEP_READY, 16 },
       { WANT, 0, 0, 16 },
       { WANT, 1, 0, 16 },
       { LEASE, 7 },
       { RUN, 5000 },
-      { SILENT, 1 },
+      { STOP_REPORTS, 1 },
       { RUN, 15000 },
-      { NO_WANT },
+      { WANT_NOTHING },
       { WANT, 1, 0, 16 },
       { RUN, 20000 },
       { UNLOADS, 0, 0 },
-      { SPEAKS, 1 },
+      { RESUME_REPORTS, 1 },
       { RUN, 5000 },
       { UNLOADS, 1, 1 } } },
-  { "a replacement that leaves doesn't count",
-    { { HOLD, 0, 0, 16 },
-      { HOLD, 1, 0, 16 },
+  { "a copy on an engine that is leaving is no replacement",
+    { { START_WITH, 0, 0, 16 },
+      { START_WITH, 1, 0, 16 },
       { WANT, 1, 0, 16 },
-      { LEAVES, 1 },
+      { LEAVE, 1 },
       { LEASE, 7 },
       { RUN, 30000 },
       { UNLOADS, 0, 0 },
       { LOADS, 0, 0 } } },
-  { "a host that leaves gets no orders",
-    { { HOLD, 0, 0, 16 },
-      { HOLD, 1, 0, 16 },
+  { "a host that is leaving gets no orders",
+    { { START_WITH, 0, 0, 16 },
+      { START_WITH, 1, 0, 16 },
       { WANT, 1, 0, 16 },
       { WANT, 0, 16, 32 },
-      { LEAVES, 0 },
+      { LEAVE, 0 },
       { LEASE, 7 },
       { RUN, 30000 },
       { UNLOADS, 0, 0 },
       { LOADS, 0, 0 } } },
-  { "a contrary unload is found and put right",
-    { { HOLD, 0, 0, 8 },
+  { "a late unload order of a former lease holder is corrected",
+    { { START_WITH, 0, 0, 8 },
       { WANT, 0, 0, 8 },
       { LEASE, 7 },
       { RUN, 5000 },
       { LOADS, 0, 0 },
-      { DROP, 0, 0, 8 },
+      { LATE_UNLOAD, 0, 0, 8 },
       { RUN, 10000 },
       { LOADS, 1, 1 },
-      { CONTRARY, 1 },
+      { LOST_RANGES, 1 },
       { HOLDS, 0, 0, 8 } } },
-  { "a contrary load is found and put right",
-    { { HOLD, 0, 0, 8 },
+  { "a late load order of a former lease holder is corrected",
+    { { START_WITH, 0, 0, 8 },
       { WANT, 0, 0, 8 },
-      { COVER, 8 },
+      { KEEP_READY, 8 },
       { LEASE, 7 },
       { RUN, 5000 },
-      { ADD, 1, 0, 8 },
+      { LATE_LOAD, 1, 0, 8 },
       { RUN, 10000 },
       { UNLOADS, 1, 1 },
       { LACKS, 1, 0, 8 },
       { HOLDS, 0, 0, 8 } } },
-  { "a model that is no longer wanted goes",
-    { { HOLD, 0, 0, 8 },
-      { HOLD, 1, 8, 16 },
-      { NO_WANT },
+  { "a model that is no longer wanted is unloaded",
+    { { START_WITH, 0, 0, 8 },
+      { START_WITH, 1, 8, 16 },
+      { WANT_NOTHING },
       { LEASE, 7 },
       { RUN, 5000 },
       { UNLOADS, 2, 2 } } },
-  { "an order that was lost is given again",
+  { "an order that was lost is sent again",
     { { WANT, 0, 0, 8 },
-      { LOSE, true },
+      { LOSE_ORDERS, true },
       { LEASE, 7 },
       { RUN, 5000 },
       { LOADS, 1, 1 },
-      { LOSE, false },
+      { LOSE_ORDERS, false },
       { RUN, 20000 },
       { LOADS, 2, 2 },
       { HOLDS, 0, 0, 8 } } },
-  { "an order that was refused is tried again after a pause",
+  { "an order that was refused is retried after a pause",
     { { WANT, 0, 0, 8 },
-      { REFUSE, true },
+      { REFUSE_ORDERS, true },
       { LEASE, 7 },
       { RUN, 20000 },
       { LOADS, 3, 4 },
-      { REFUSE, false },
+      { REFUSE_ORDERS, false },
       { RUN, 20000 },
       { HOLDS, 0, 0, 8 } } },
-  { "a new holder waits for reports of its own time",
+  { "a new holder waits for reports made under its lease",
     { { WANT, 0, 0, 8 },
       { LEASE, 7 },
       { RUN, 3000 },
@@ -234,38 +241,38 @@
       { HOLDS, 0, 0, 8 } } },
 };
 
-static struct bench *
-bench_create (void)
+static struct fixture *
+fixture_create (void)
 {
-  struct bench *bench = g_new0 (struct bench, 1);
+  struct fixture *fixture = g_new0 (struct fixture, 1);
   const struct ord_params params = ord_params_default ();
-  bench->ord = ord_create (&params);
-  bench->actions = act_list_create ();
-  bench->now_us = 100 * S_US;
+  fixture->ord = ord_create (&params);
+  fixture->actions = act_list_create ();
+  fixture->now_us = 100 * S_US;
   for (uint32_t i = 0; i < HOSTS; i++)
     {
-      bench->engines[i].held
+      fixture->engines[i].held
           = g_array_new (FALSE, FALSE, sizeof (struct ord_held));
-      bench->engines[i].since = g_array_new (FALSE, FALSE, sizeof (int64_t));
+      fixture->engines[i].since = g_array_new (FALSE, FALSE, sizeof (int64_t));
     }
-  return bench;
+  return fixture;
 }
 
 static void
-bench_destroy (struct bench *bench)
+fixture_destroy (struct fixture *fixture)
 {
-  ord_destroy (bench->ord);
-  act_list_destroy (bench->actions);
+  ord_destroy (fixture->ord);
+  act_list_destroy (fixture->actions);
   for (uint32_t i = 0; i < HOSTS; i++)
     {
-      g_array_free (bench->engines[i].held, TRUE);
-      g_array_free (bench->engines[i].since, TRUE);
+      g_array_free (fixture->engines[i].held, TRUE);
+      g_array_free (fixture->engines[i].since, TRUE);
     }
-  g_free (bench);
+  g_free (fixture);
 }
 
 static int
-find (const struct engine *engine, uint32_t first, uint32_t end)
+find_range (const struct engine *engine, uint32_t first, uint32_t end)
 {
   for (guint i = 0; i < engine->held->len; i++)
     {
@@ -280,24 +287,24 @@
 }
 
 static void
-load (struct bench *bench, uint32_t host, uint32_t first, uint32_t end,
+load (struct fixture *fixture, uint32_t host, uint32_t first, uint32_t end,
       bool ready)
 {
-  struct engine *engine = &bench->engines[host];
-  if (find (engine, first, end) >= 0)
+  struct engine *engine = &fixture->engines[host];
+  if (find_range (engine, first, end) >= 0)
     {
       return;
     }
   struct ord_held held = { { host, 0, first, end }, ready };
   g_array_append_val (engine->held, held);
-  g_array_append_val (engine->since, bench->now_us);
+  g_array_append_val (engine->since, fixture->now_us);
 }
 
 static void
-unload (struct bench *bench, uint32_t host, uint32_t first, uint32_t end)
+unload (struct fixture *fixture, uint32_t host, uint32_t first, uint32_t end)
 {
-  struct engine *engine = &bench->engines[host];
-  int index = find (engine, first, end);
+  struct engine *engine = &fixture->engines[host];
+  int index = find_range (engine, first, end);
   if (index >= 0)
     {
       g_array_remove_index (engine->held, (guint)index);
@@ -305,66 +312,69 @@
     }
 }
 
+/* Checks ORDER, and executes it unless orders are to be lost or refused.  */
 static void
-take_order (struct bench *bench, const struct act_order *order)
+take_order (struct fixture *fixture, const struct act_order *order)
 {
-  assert_true (bench->lease);
-  assert_int_equal (order->fence, bench->fence);
+  assert_true (fixture->lease);
+  assert_int_equal (order->fence, fixture->fence);
   bool is_load = order->verb == ACT_ORDER_LOAD;
   if (is_load)
     {
-      assert_true (bench->loads == 0
-                   || bench->now_us - bench->last_load_us >= 2 * S_US);
-      bench->last_load_us = bench->now_us;
+      assert_true (fixture->loads == 0
+                   || fixture->now_us - fixture->last_load_us >= 2 * S_US);
+      fixture->last_load_us = fixture->now_us;
     }
-  bench->loads += is_load ? 1 : 0;
-  bench->unloads += is_load ? 0 : 1;
-  if (bench->lose_orders)
+  fixture->loads += is_load ? 1 : 0;
+  fixture->unloads += is_load ? 0 : 1;
+  if (fixture->lose_orders)
     {
       return;
     }
-  if (bench->refuse_orders)
+  if (fixture->refuse_orders)
     {
-      ord_refused (bench->ord, order, bench->now_us);
+      ord_refused (fixture->ord, order, fixture->now_us);
     }
   else if (is_load)
     {
-      load (bench, order->host, order->first, order->end, false);
+      load (fixture, order->host, order->first, order->end, false);
     }
   else
     {
-      unload (bench, order->host, order->first, order->end);
+      unload (fixture, order->host, order->first, order->end);
     }
 }
 
+/* Finishes the loads of HOST that are due, and sends its report when it is its
+   turn.  */
 static void
-report (struct bench *bench, uint32_t host)
+report (struct fixture *fixture, uint32_t host)
 {
-  struct engine *engine = &bench->engines[host];
+  struct engine *engine = &fixture->engines[host];
   for (guint i = 0; i < engine->held->len; i++)
     {
       struct ord_held *held
           = &g_array_index (engine->held, struct ord_held, i);
       int64_t since_us = g_array_index (engine->since, int64_t, i);
-      held->ready = held->ready || bench->now_us - since_us >= LOAD_US;
+      held->ready = held->ready || fixture->now_us - since_us >= LOAD_US;
     }
-  if (!engine->silent && bench->step % REPORT_STEPS == host)
+  if (!engine->silent && fixture->step % REPORT_STEPS == host)
     {
-      ord_report (bench->ord, host,
+      ord_report (fixture->ord, host,
                   (const struct ord_held *)engine->held->data,
-                  engine->held->len, !engine->leaving, bench->now_us);
+                  engine->held->len, !engine->leaving, fixture->now_us);
     }
 }
 
 static bool
-layer_ready (const struct bench *bench, uint32_t layer)
+layer_ready (const struct fixture *fixture, uint32_t layer)
 {
   for (uint32_t i = 0; i < HOSTS; i++)
     {
-      for (guint j = 0; j < bench->engines[i].held->len; j++)
+      for (guint j = 0; j < fixture->engines[i].held->len; j++)
         {
           const struct ord_held *held
-              = &g_array_index (bench->engines[i].held, struct ord_held, j);
+              = &g_array_index (fixture->engines[i].held, struct ord_held, j);
           if (held->ready && layer >= held->range.first
               && layer < held->range.end)
             {
@@ -376,63 +386,65 @@
 }
 
 static void
-run (struct bench *bench, int64_t duration_us)
+run (struct fixture *fixture, int64_t duration_us)
 {
-  int64_t end_us = bench->now_us + duration_us;
-  while (bench->now_us < end_us)
+  int64_t end_us = fixture->now_us + duration_us;
+  while (fixture->now_us < end_us)
     {
-      bench->now_us += STEP_US;
-      bench->step++;
+      fixture->now_us += STEP_US;
+      fixture->step++;
       for (uint32_t i = 0; i < HOSTS; i++)
         {
-          report (bench, i);
+          report (fixture, i);
         }
-      ord_lease (bench->ord, bench->lease, bench->fence, bench->now_us);
-      ord_tick (bench->ord, bench->now_us, bench->actions);
-      for (uint32_t i = 0; i < act_list_length (bench->actions); i++)
+      ord_lease (fixture->ord, fixture->lease, fixture->fence,
+                 fixture->now_us);
+      ord_tick (fixture->ord, fixture->now_us, fixture->actions);
+      for (uint32_t i = 0; i < act_list_length (fixture->actions); i++)
         {
-          const struct act *action = act_list_get (bench->actions, i);
+          const struct act *action = act_list_get (fixture->actions, i);
           assert_int_equal (action->kind, ACT_ORDER);
-          take_order (bench, &action->order);
+          take_order (fixture, &action->order);
         }
-      act_list_clear (bench->actions);
-      for (uint32_t layer = 0; layer < bench->cover; layer++)
+      act_list_clear (fixture->actions);
+      for (uint32_t layer = 0; layer < fixture->layers_kept_ready; layer++)
         {
-          assert_true (layer_ready (bench, layer));
+          assert_true (layer_ready (fixture, layer));
         }
     }
 }
 
 static void
-want (struct bench *bench, const struct step *step)
+want (struct fixture *fixture, const struct step *step)
 {
-  bench->wanted[bench->wanted_count++]
+  fixture->wanted[fixture->wanted_count++]
       = (struct ord_range){ step->a, 0, step->b, step->c };
-  ord_set_wanted (bench->ord, bench->wanted, bench->wanted_count);
+  ord_set_wanted (fixture->ord, fixture->wanted, fixture->wanted_count);
 }
 
 static void
-check_step (const struct bench *bench, const struct step *step)
+check_step (const struct fixture *fixture, const struct step *step)
 {
-  struct ord_stats stats = ord_stats (bench->ord);
+  struct ord_stats stats = ord_stats (fixture->ord);
   switch (step->op)
     {
     case HOLDS:
     case LACKS:
-      assert_int_equal (find (&bench->engines[step->a], step->b, step->c) >= 0,
-                        step->op == HOLDS);
+      assert_int_equal (
+          find_range (&fixture->engines[step->a], step->b, step->c) >= 0,
+          step->op == HOLDS);
       break;
     case LOADS:
-      assert_in_range (bench->loads, step->a, step->b);
+      assert_in_range (fixture->loads, step->a, step->b);
       break;
     case UNLOADS:
-      assert_in_range (bench->unloads, step->a, step->b);
+      assert_in_range (fixture->unloads, step->a, step->b);
       break;
     case BLOCKED:
       assert_int_equal (stats.unloads_blocked, step->a);
       break;
-    case CONTRARY:
-      assert_int_equal (stats.contrary, step->a);
+    case LOST_RANGES:
+      assert_int_equal (stats.lost_ranges, step->a);
       break;
     default:
       fail ();
@@ -440,68 +452,69 @@
 }
 
 static void
-do_step (struct bench *bench, const struct step *step)
+do_step (struct fixture *fixture, const struct step *step)
 {
-  struct engine *engine = &bench->engines[step->a % HOSTS];
+  struct engine *engine = &fixture->engines[step->a % HOSTS];
   switch (step->op)
     {
-    case HOLD:
-      load (bench, step->a, step->b, step->c, true);
+    case START_WITH:
+      load (fixture, step->a, step->b, step->c, true);
       break;
-    case ADD:
-      load (bench, step->a, step->b, step->c, false);
+    case LATE_LOAD:
+      load (fixture, step->a, step->b, step->c, false);
       break;
-    case DROP:
-      unload (bench, step->a, step->b, step->c);
+    case LATE_UNLOAD:
+      unload (fixture, step->a, step->b, step->c);
       break;
     case WANT:
-      want (bench, step);
+      want (fixture, step);
       break;
-    case NO_WANT:
-      bench->wanted_count = 0;
-      ord_set_wanted (bench->ord, bench->wanted, 0);
+    case WANT_NOTHING:
+      fixture->wanted_count = 0;
+      ord_set_wanted (fixture->ord, fixture->wanted, 0);
       break;
     case LEASE:
-      bench->lease = step->a > 0;
-      bench->fence = step->a;
+      fixture->lease = step->a > 0;
+      fixture->fence = step->a;
       break;
     case RUN:
-      run (bench, step->a * INT64_C (1000));
+      run (fixture, step->a * INT64_C (1000));
       break;
-    case COVER:
-      bench->cover = step->a;
+    case KEEP_READY:
+      fixture->layers_kept_ready = step->a;
       break;
-    case LOSE:
-      bench->lose_orders = step->a;
+    case LOSE_ORDERS:
+      fixture->lose_orders = step->a;
       break;
-    case REFUSE:
-      bench->refuse_orders = step->a;
+    case REFUSE_ORDERS:
+      fixture->refuse_orders = step->a;
       break;
-    case SILENT:
-    case SPEAKS:
-      engine->silent = step->op == SILENT;
+    case STOP_REPORTS:
+    case RESUME_REPORTS:
+      engine->silent = step->op == STOP_REPORTS;
       break;
-    case LEAVES:
+    case LEAVE:
       engine->leaving = true;
       break;
     default:
-      check_step (bench, step);
+      check_step (fixture, step);
     }
 }
 
 static void
-fault_rows (void **state)
+order_scenarios (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
+  for (size_t i = 0; i < sizeof scenarios / sizeof scenarios[0]; i++)
     {
-      print_message ("row: %s\n", rows[i].name);
-      struct bench *bench = bench_create ();
-      for (const struct step *step = rows[i].steps; step->op != END; step++)
+      print_message ("scenario: %s\n", scenarios[i].name);
+      struct fixture *fixture = fixture_create ();
+      for (const struct step *step = scenarios[i].steps; step->op != END;
+           step++)
         {
-          do_step (bench, step);
+          do_step (fixture, step);
         }
-      bench_destroy (bench);
+      fixture_destroy (fixture);
     }
 }
 
@@ -509,7 +522,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (fault_rows),
+    cmocka_unit_test (order_scenarios),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
