--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -1,5 +1,15 @@
-/* The lease on giving orders to endpoints.  The log decides who holds it; the
-   holder trusts it only as long as its own monotonic clock says so. */
+/* The lease that lets one daemon at a time give orders to endpoints.
+
+   Daemons append acquisitions, renewals and releases to the stream `lease' of
+   the platform's log; which of them take effect follows from their order and
+   log times, so that all readers know the same holder.  The holder uses the
+   lease for its duration on its own monotonic clock, counted from the send of
+   its append.  Its orders carry a fencing token, the offset of the
+   acquisition, which increases with every holder.
+
+   This is a state machine without I/O: the daemon's control thread passes
+   events in with the current monotonic time, and carries out the actions that
+   come back. */
 #ifndef CORE_LEASE_H
 #define CORE_LEASE_H
 
@@ -12,10 +22,12 @@
   uint64_t incarnation; /* random, unique for each start; not 0 */
   const char *name;     /* of this daemon; copied */
   int64_t duration_us;  /* log time; the same at every daemon */
-  int64_t renew_us;
-  int64_t margin_us;    /* longest pause between check and order, and drift */
-  int64_t rank_step_us; /* daemons take turns to acquire a free lease */
-  int64_t retry_us;     /* between two appends */
+  int64_t renew_interval_us;
+  /* The holder stops using the lease this long before it expires, which covers
+     clock drift and the longest pause between the check and the order. */
+  int64_t safety_margin_us;
+  int64_t rank_step_us;      /* delay per rank in acquiring a free lease */
+  int64_t retry_interval_us; /* after an append that failed */
 };
 
 struct lse;
--- a/test/lease_test.c
+++ b/test/lease_test.c
@@ -7,7 +7,7 @@
 
 #include <cmocka.h>
 
-/* Steps name only the operands that they have.  */
+/* Steps set only the operands that they use.  */
 #pragma GCC diagnostic ignored "-Wmissing-field-initializers"
 
 #define NODES 4
@@ -16,17 +16,17 @@
 #define S_US INT64_C (1000000)
 #define LOG_CLOCK_US INT64_C (1700000000000000)
 #define APPEND_DELAY_US INT64_C (20000)
-#define APPEND_LATE_US (20 * S_US)
+#define APPEND_DELAYED_US (20 * S_US)
 #define RETENTION_US (200 * S_US)
 #define STEPS_MAX 24
 
-enum fate
+enum append_fault
 {
-  FATE_OK,
-  FATE_REFUSED,
-  FATE_LOST_IN,
-  FATE_LOST_OUT,
-  FATE_LATE
+  APPEND_OK,
+  APPEND_REFUSED,
+  APPEND_REPLY_LOST,   /* stored, but reported as lost */
+  APPEND_REQUEST_LOST, /* not stored, reported as lost */
+  APPEND_DELAYED       /* stored after APPEND_DELAYED_US, reported as lost */
 };
 
 struct record
@@ -38,7 +38,7 @@
 struct event
 {
   int64_t due_us;
-  enum fate fate;
+  enum append_fault append_fault;
   uint32_t node;
   uint64_t token;
   GBytes *bytes;
@@ -49,23 +49,24 @@
   struct lse *lse; /* NULL: dead */
   uint64_t incarnation;
   bool paused;
-  bool cut;
+  bool disconnected;
   uint64_t read_from;
 };
 
+/* Daemons that share one log, which applies append_fault to every append. */
 struct fleet
 {
   int64_t now_us;
   struct node nodes[NODES];
   GArray *log;
-  uint64_t first;
-  bool out;
-  enum fate fate;
+  uint64_t first_offset;
+  bool log_down;
+  enum append_fault append_fault;
   GArray *events;
   struct act_list *actions;
-  uint32_t holder; /* node, or NOBODY */
-  uint64_t fence;  /* highest that was used */
-  uint32_t turns;  /* how often the holder changed */
+  uint32_t holder;         /* node, or NOBODY */
+  uint64_t fence;          /* highest fencing token so far */
+  uint32_t holder_changes; /* how often the holder changed */
   uint32_t appends;
 };
 
@@ -134,28 +135,32 @@
     {
       const struct act *action = act_list_get (fleet->actions, i);
       assert_int_equal (action->kind, ACT_APPEND);
-      enum fate fate = fleet->nodes[index].cut ? FATE_REFUSED : fleet->fate;
-      struct event event = { .due_us = fleet->now_us
-                                       + (fate == FATE_LATE ? APPEND_LATE_US
-                                                            : APPEND_DELAY_US),
-                             .fate = fate,
-                             .node = index,
-                             .token = action->append.token,
-                             .bytes = g_bytes_ref (action->append.bytes) };
+      enum append_fault fault = fleet->nodes[index].disconnected
+                                    ? APPEND_REFUSED
+                                    : fleet->append_fault;
+      struct event event
+          = { .due_us = fleet->now_us
+                        + (fault == APPEND_DELAYED ? APPEND_DELAYED_US
+                                                   : APPEND_DELAY_US),
+              .append_fault = fault,
+              .node = index,
+              .token = action->append.token,
+              .bytes = g_bytes_ref (action->append.bytes) };
       g_array_append_val (fleet->events, event);
       fleet->appends++;
     }
   act_list_clear (fleet->actions);
 }
 
-/* An append reaches the log; its result goes back at the same time.  */
+/* Handles the arrival of an append at the log.  Its result goes back at the
+   same time.  */
 static void
 deliver (struct fleet *fleet, const struct event *event)
 {
   struct node *node = &fleet->nodes[event->node];
-  bool in = !fleet->out && event->fate != FATE_REFUSED
-            && event->fate != FATE_LOST_OUT;
-  if (in)
+  bool stored = !fleet->log_down && event->append_fault != APPEND_REFUSED
+                && event->append_fault != APPEND_REQUEST_LOST;
+  if (stored)
     {
       struct record record
           = { fleet->now_us + LOG_CLOCK_US, g_bytes_ref (event->bytes) };
@@ -165,11 +170,11 @@
     {
       return;
     }
-  if (event->fate == FATE_REFUSED || (fleet->out && !in))
+  if (event->append_fault == APPEND_REFUSED || (fleet->log_down && !stored))
     {
       lse_append_refused (node->lse, event->token, fleet->now_us);
     }
-  else if (event->fate == FATE_OK)
+  else if (event->append_fault == APPEND_OK)
     {
       lse_append_done (node->lse, event->token, fleet->log->len - 1,
                        fleet->now_us);
@@ -201,7 +206,7 @@
 static void
 read_log (struct fleet *fleet, struct node *node)
 {
-  node->read_from = MAX (node->read_from, fleet->first);
+  node->read_from = MAX (node->read_from, fleet->first_offset);
   for (; node->read_from < fleet->log->len; node->read_from++)
     {
       const struct record *record
@@ -209,11 +214,13 @@
       lse_log_record (node->lse, node->read_from, record->time_us,
                       record->bytes, fleet->now_us);
     }
-  lse_log_position (node->lse, fleet->first, fleet->log->len, fleet->now_us);
+  lse_log_position (node->lse, fleet->first_offset, fleet->log->len,
+                    fleet->now_us);
 }
 
-/* At most one daemon may give orders, and fencing numbers only rise.  Asked
-   before the daemons read the log, as one that just woke up would.  */
+/* Checks that at most one daemon may give orders, and that fencing tokens
+   never decrease.  Called before the daemons read the log, since a daemon that
+   was paused may give an order before it has read.  */
 static void
 check_holder (struct fleet *fleet)
 {
@@ -230,7 +237,7 @@
       assert_int_equal (holder, NOBODY);
       holder = i;
       assert_true (fence >= fleet->fence);
-      fleet->turns += fence > fleet->fence ? 1 : 0;
+      fleet->holder_changes += fence > fleet->fence ? 1 : 0;
       fleet->fence = fence;
     }
   fleet->holder = holder;
@@ -244,11 +251,12 @@
     {
       fleet->now_us += STEP_US;
       int64_t oldest_us = fleet->now_us + LOG_CLOCK_US - RETENTION_US;
-      while (fleet->first < fleet->log->len
-             && g_array_index (fleet->log, struct record, fleet->first).time_us
+      while (fleet->first_offset < fleet->log->len
+             && g_array_index (fleet->log, struct record, fleet->first_offset)
+                        .time_us
                     < oldest_us)
         {
-          fleet->first++;
+          fleet->first_offset++;
         }
       check_holder (fleet);
       run_events (fleet);
@@ -259,7 +267,7 @@
             {
               continue;
             }
-          if (!node->cut && !fleet->out)
+          if (!node->disconnected && !fleet->log_down)
             {
               read_log (fleet, node);
             }
@@ -272,20 +280,20 @@
 enum op
 {
   END,
-  RUN,  /* ms */
-  FATE, /* of appends from now on */
-  OUT,
-  BACK,
-  CUT, /* node */
-  HEAL,
+  RUN,          /* ms */
+  APPEND_FAULT, /* enum append_fault, of appends from now on */
+  LOG_DOWN,
+  LOG_UP,
+  DISCONNECT, /* node, from the log */
+  RECONNECT,
   KILL,
   START,
   PAUSE,
-  WAKE,
-  WILLING, /* node, or not */
-  HOLDER,  /* node */
-  TURNS,   /* at least, at most */
-  APPENDS  /* at least, at most */
+  RESUME,
+  CANDIDATE,      /* node, true or false */
+  HOLDER,         /* node, or NOBODY: expected holder */
+  HOLDER_CHANGES, /* minimum and maximum so far */
+  APPENDS         /* minimum and maximum so far */
 };
 
 struct step
@@ -295,89 +303,90 @@
   uint32_t b;
 };
 
-struct row
+struct scenario
 {
   const char *name;
   struct step steps[STEPS_MAX];
 };
 
-static const struct row rows[] = {
-  { "the first in rank holds it, renewed at a third",
+static const struct scenario scenarios[] = {
+  { "the lowest rank holds the lease and renews it every third of its "
+    "duration",
     { { RUN, 2000 },
       { HOLDER, 0 },
       { RUN, 60000 },
       { HOLDER, 0 },
       { APPENDS, 10, 16 } } },
-  { "the holder dies",
+  { "another daemon acquires the lease after the holder dies",
     { { RUN, 2000 },
       { KILL, 0 },
       { RUN, 10000 },
       { HOLDER, NOBODY },
       { RUN, 10000 },
       { HOLDER, 1 } } },
-  { "the holder gives it up",
-    { { RUN, 2000 }, { WILLING, 0, false }, { RUN, 6000 }, { HOLDER, 1 } } },
-  { "a paused holder that wakes sees the lapse",
+  { "the holder releases the lease when it is no candidate any more",
+    { { RUN, 2000 }, { CANDIDATE, 0, false }, { RUN, 6000 }, { HOLDER, 1 } } },
+  { "a paused holder finds its lease expired and taken when it resumes",
     { { RUN, 2000 },
       { PAUSE, 0 },
       { RUN, 30000 },
       { HOLDER, 1 },
-      { WAKE, 0 },
+      { RESUME, 0 },
       { RUN, 30000 },
       { HOLDER, 1 } } },
-  { "a paused holder that wakes before anyone else took it",
+  { "a paused holder finds its lease expired and free when it resumes",
     { { RUN, 2000 },
       { PAUSE, 0 },
       { PAUSE, 1 },
       { PAUSE, 2 },
       { PAUSE, 3 },
       { RUN, 60000 },
-      { WAKE, 0 },
+      { RESUME, 0 },
       { RUN, 10 },
       { HOLDER, NOBODY },
       { RUN, 1000 },
       { HOLDER, 0 } } },
-  { "a holder that is cut off stops before another takes over",
+  { "a disconnected holder stops before another daemon takes over",
     { { RUN, 2000 },
-      { CUT, 0 },
+      { DISCONNECT, 0 },
       { RUN, 13000 },
       { HOLDER, NOBODY },
       { RUN, 10000 },
       { HOLDER, 1 },
-      { HEAL, 0 },
+      { RECONNECT, 0 },
       { RUN, 10000 },
       { HOLDER, 1 } } },
-  { "a late renewal of a former holder is ignored",
+  { "a delayed renewal by a former holder is ignored",
     { { RUN, 4000 },
-      { FATE, FATE_LATE },
+      { APPEND_FAULT, APPEND_DELAYED },
       { RUN, 2000 },
-      { FATE, FATE_OK },
-      { CUT, 0 },
+      { APPEND_FAULT, APPEND_OK },
+      { DISCONNECT, 0 },
       { RUN, 60000 },
       { HOLDER, 1 },
-      { HEAL, 0 },
+      { RECONNECT, 0 },
       { RUN, 20000 },
       { HOLDER, 1 } } },
-  { "answers of renewals are lost",
+  { "the holder keeps the lease when replies to its renewals are lost",
     { { RUN, 2000 },
-      { FATE, FATE_LOST_IN },
+      { APPEND_FAULT, APPEND_REPLY_LOST },
       { RUN, 60000 },
       { HOLDER, 0 },
-      { TURNS, 0, 0 } } },
+      { HOLDER_CHANGES, 0, 0 } } },
   { "nobody holds it during a log outage",
     { { RUN, 2000 },
-      { OUT },
+      { LOG_DOWN },
       { RUN, 30000 },
       { HOLDER, NOBODY },
-      { BACK },
+      { LOG_UP },
       { RUN, 20000 },
       { HOLDER, 1 } } },
-  { "a late starter takes no live lease",
+  { "a daemon that starts late doesn't take a lease that is in force",
     { { RUN, 300000 },
       { KILL, 1 },
       { START, 1 },
-      { WILLING, 2, false },
-      { WILLING, 3, false },
+      { CANDIDATE, 2, false },
+      { CANDIDATE, 3, false },
       { RUN, 20000 },
       { HOLDER, 0 },
       { KILL, 0 },
@@ -394,16 +403,16 @@
     case RUN:
       run_fleet (fleet, step->a * INT64_C (1000));
       break;
-    case FATE:
-      fleet->fate = (enum fate)step->a;
+    case APPEND_FAULT:
+      fleet->append_fault = (enum append_fault)step->a;
       break;
-    case OUT:
-    case BACK:
-      fleet->out = step->op == OUT;
+    case LOG_DOWN:
+    case LOG_UP:
+      fleet->log_down = step->op == LOG_DOWN;
       break;
-    case CUT:
-    case HEAL:
-      node->cut = step->op == CUT;
+    case DISCONNECT:
+    case RECONNECT:
+      node->disconnected = step->op == DISCONNECT;
       break;
     case KILL:
       lse_destroy (node->lse);
@@ -413,17 +422,17 @@
       start_node (fleet, step->a);
       break;
     case PAUSE:
-    case WAKE:
+    case RESUME:
       node->paused = step->op == PAUSE;
       break;
-    case WILLING:
+    case CANDIDATE:
       lse_set_willing (node->lse, step->b);
       break;
     case HOLDER:
       assert_int_equal (fleet->holder, step->a);
       break;
-    case TURNS:
-      assert_in_range (fleet->turns, step->a, step->b);
+    case HOLDER_CHANGES:
+      assert_in_range (fleet->holder_changes, step->a, step->b);
       break;
     case APPENDS:
       assert_in_range (fleet->appends, step->a, step->b);
@@ -434,14 +443,15 @@
 }
 
 static void
-fault_rows (void **state)
+lease_scenarios (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
+  for (size_t i = 0; i < sizeof scenarios / sizeof scenarios[0]; i++)
     {
-      print_message ("row: %s\n", rows[i].name);
+      print_message ("scenario: %s\n", scenarios[i].name);
       struct fleet *fleet = fleet_create ();
-      for (const struct step *step = rows[i].steps; step->op != END; step++)
+      for (const struct step *step = scenarios[i].steps; step->op != END;
+           step++)
         {
           do_step (fleet, step);
         }
@@ -468,25 +478,27 @@
   switch (next_random (random, 6))
     {
     case 0:
-      step.op = node->cut ? HEAL : CUT;
+      step.op = node->disconnected ? RECONNECT : DISCONNECT;
       break;
     case 1:
     case 2:
-      step.op = node->lse == NULL ? END : node->paused ? WAKE : PAUSE;
+      step.op = node->lse == NULL ? END : node->paused ? RESUME : PAUSE;
       break;
     case 3:
       step.op = node->lse == NULL ? START : KILL;
       break;
     case 4:
-      step.op = fleet->out ? BACK : OUT;
+      step.op = fleet->log_down ? LOG_UP : LOG_DOWN;
       break;
     default:
-      step = (struct step){ FATE, next_random (random, FATE_LATE + 1) };
+      step = (struct step){ APPEND_FAULT,
+                            next_random (random, APPEND_DELAYED + 1) };
     }
   do_step (fleet, &step);
 }
 
-/* Never two holders, never a lower fencing number; one in the end.  */
+/* Runs random faults.  There are never two holders, fencing tokens never
+   decrease, and once the faults have ended there is a holder.  */
 static void
 run_schedule (uint64_t seed)
 {
@@ -497,12 +509,12 @@
       random_step (fleet, &random);
       run_fleet (fleet, next_random (&random, 8000) * INT64_C (1000));
     }
-  fleet->out = false;
-  fleet->fate = FATE_OK;
+  fleet->log_down = false;
+  fleet->append_fault = APPEND_OK;
   for (uint32_t i = 0; i < NODES; i++)
     {
       fleet->nodes[i].paused = false;
-      fleet->nodes[i].cut = false;
+      fleet->nodes[i].disconnected = false;
       if (fleet->nodes[i].lse == NULL)
         {
           start_node (fleet, i);
@@ -524,24 +536,26 @@
     }
 }
 
-/* Seeds beyond the first ones that failed once.  */
-static const uint64_t kept_seeds[] = { 355, 1460 };
+/* Seeds above SCHEDULES that have failed before.  */
+static const uint64_t regression_seeds[] = { 355, 1460 };
 
 static void
-kept_schedules (void **state)
+regression_schedules (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof kept_seeds / sizeof kept_seeds[0]; i++)
+  for (size_t i = 0; i < sizeof regression_seeds / sizeof regression_seeds[0];
+       i++)
     {
-      run_schedule (kept_seeds[i]);
+      run_schedule (regression_seeds[i]);
     }
 }
 
-/* Feeds a record of another daemon; a renewal renews the lease of FENCE and
-   was written by a daemon that had read everything before it.  */
+/* Passes a record of another daemon to LSE.  A renewal is for the lease with
+   the fencing token FENCE, by a daemon that had read every earlier record.  */
 static void
-feed (struct lse *lse, uint64_t offset, enum rec_lease_operation operation,
-      uint64_t fence, int64_t time_us)
+pass_record (struct lse *lse, uint64_t offset,
+             enum rec_lease_operation operation, uint64_t fence,
+             int64_t time_us)
 {
   const struct rec_lease record = { .incarnation = 100 + offset,
                                     .nonce = 1,
@@ -556,18 +570,19 @@
   g_bytes_unref (bytes);
 }
 
-/* A reader that started late can't tell which acquisitions counted: the first
-   one here was refused, since a lease that it never saw was live until 13 s.
-   It acquires nothing until every such lease has lapsed.  */
+/* A reader that starts late can't know which acquisitions took effect.  Here
+   the first one did not, since a lease that the reader missed was in force
+   until 13 s.  The reader must not acquire the lease before every lease that
+   it may have missed has expired.  */
 static void
-late_reader_waits (void **state)
+late_reader_waits_before_acquiring (void **state)
 {
   (void)state;
   const struct lse_params params = lse_params_default (1, "entry");
   struct lse *lse = lse_create (&params);
   struct act_list *actions = act_list_create ();
-  feed (lse, 10, REC_LEASE_ACQUIRE, 0, S_US / 10);
-  feed (lse, 11, REC_LEASE_ACQUIRE, 0, 14 * S_US);
+  pass_record (lse, 10, REC_LEASE_ACQUIRE, 0, S_US / 10);
+  pass_record (lse, 11, REC_LEASE_ACQUIRE, 0, 14 * S_US);
   int64_t until_us = 45 * S_US;
   for (int64_t now_us = 14 * S_US; now_us < until_us; now_us += STEP_US)
     {
@@ -582,20 +597,21 @@
   lse_destroy (lse);
 }
 
-/* A reader that took a refused acquisition for the lease learns of the real
-   one by its renewals, although that has a lower fencing number.  */
+/* A reader that starts late and accepts an acquisition that had no effect has
+   to learn of the lease in force from its renewals, although that lease has a
+   lower fencing token.  */
 static void
-late_reader_learns_by_renewals (void **state)
+late_reader_learns_lease_from_renewals (void **state)
 {
   (void)state;
   const struct lse_params params = lse_params_default (1, "entry");
   struct lse *lse = lse_create (&params);
   struct act_list *actions = act_list_create ();
-  feed (lse, 10, REC_LEASE_ACQUIRE, 0, S_US / 10);
+  pass_record (lse, 10, REC_LEASE_ACQUIRE, 0, S_US / 10);
   int64_t now_us = S_US / 10;
   for (uint64_t offset = 11; offset < 50; offset++)
     {
-      feed (lse, offset, REC_LEASE_RENEW, 3, now_us);
+      pass_record (lse, offset, REC_LEASE_RENEW, 3, now_us);
       for (int64_t end_us = now_us + 5 * S_US; now_us < end_us;
            now_us += STEP_US)
         {
@@ -608,16 +624,17 @@
   lse_destroy (lse);
 }
 
-/* Of two daemons that acquire at once the first in the log holds the lease. */
+/* When two daemons acquire the lease at once, the first one in the log holds
+   it.  */
 static void
-two_acquire_at_once (void **state)
+concurrent_acquisitions (void **state)
 {
   (void)state;
   struct fleet *fleet = fleet_create ();
   lse_set_rank (fleet->nodes[1].lse, 0);
   run_fleet (fleet, 60 * S_US);
   assert_int_equal (fleet->holder, 0);
-  assert_int_equal (fleet->turns, 0);
+  assert_int_equal (fleet->holder_changes, 0);
   fleet_destroy (fleet);
 }
 
@@ -625,12 +642,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (fault_rows),
+    cmocka_unit_test (lease_scenarios),
     cmocka_unit_test (random_schedules),
-    cmocka_unit_test (kept_schedules),
-    cmocka_unit_test (late_reader_waits),
-    cmocka_unit_test (late_reader_learns_by_renewals),
-    cmocka_unit_test (two_acquire_at_once),
+    cmocka_unit_test (regression_schedules),
+    cmocka_unit_test (late_reader_waits_before_acquiring),
+    cmocka_unit_test (late_reader_learns_lease_from_renewals),
+    cmocka_unit_test (concurrent_acquisitions),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
