--- a/test/schedule.c
+++ b/test/schedule.c
@@ -168,7 +168,7 @@
 
 /* Executes the actions of the state machine of NODE.  */
 static void
-execute_actions (struct sch *sch, uint32_t node)
+take_actions (struct sch *sch, uint32_t node)
 {
   struct act_list *actions = sch->nodes[node].actions;
   for (uint32_t i = 0; i < act_list_length (actions); i++)
@@ -321,7 +321,7 @@
                    node->actions);
       break;
     }
-  execute_actions (sch, event->node);
+  take_actions (sch, event->node);
 }
 
 /* Returns whether EVENT is due.  Events wait while their daemon is paused,
@@ -410,7 +410,7 @@
     }
   clm_peers_reach_log (node->clm, peers, sch->now_us);
   clm_tick (node->clm, sch->now_us, node->actions);
-  execute_actions (sch, index);
+  take_actions (sch, index);
 }
 
 static void
@@ -472,7 +472,7 @@
   uint32_t number = sch->calls->len - 1;
   clm_request (sch->nodes[node].clm, &request, sch->now_us,
                sch->nodes[node].actions);
-  execute_actions (sch, node);
+  take_actions (sch, node);
   return number;
 }
 
@@ -486,7 +486,7 @@
   *call = sch->calls->len - 1;
   clm_settle (sch->nodes[node].clm, sch->calls->len, account, key, ran, 200,
               NULL, sch->now_us, sch->nodes[node].actions);
-  execute_actions (sch, node);
+  take_actions (sch, node);
 }
 
 const struct sch_call *
@@ -506,7 +506,7 @@
   if (node->clm != NULL && !node->paused)
     {
       clm_caller_gone (node->clm, number + 1, sch->now_us, node->actions);
-      execute_actions (sch, call->node);
+      take_actions (sch, call->node);
     }
 }
 
--- a/test/schedule_test.c
+++ b/test/schedule_test.c
@@ -97,7 +97,7 @@
 /* Records the end of CALLER's call, if it has ended, and decides whether
    CALLER repeats the call or uses the next key.  */
 static void
-finish_call (struct simulation *sim, struct caller *caller)
+take_answer (struct simulation *sim, struct caller *caller)
 {
   const struct sch_call *call = sch_get (sim->sch, caller->call);
   if (call->pending)
@@ -136,7 +136,7 @@
         }
       if (caller->call != NO_CALL)
         {
-          finish_call (sim, caller);
+          take_answer (sim, caller);
         }
       if (caller->call == NO_CALL && start_calls)
         {
