--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -70,7 +70,7 @@
   uint32_t waiting;   /* entries that wait for an append */
   uint32_t keys;      /* keys in the table, settled or not */
   uint32_t malformed; /* records and entries that were skipped; total */
-  uint32_t conflicts; /* outcomes that contradict a settlement; total */
+  uint32_t conflicts; /* outcomes of claims that had lost the key */
   uint64_t appends;   /* total */
 };
 
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -20,8 +20,7 @@
   bool has_full_history;    /* read from the very first record on */
   bool has_records;         /* at least one was read since the last gap */
   uint64_t next_offset;     /* of the next record to read */
-  int64_t gapless_log_us;   /* log time of the first record since the last gap
-                             */
+  int64_t gapless_log_us;   /* log time of the first record after the gap */
   int64_t gapless_since_us; /* monotonic; when reading without a gap began */
   int64_t latest_us;        /* log time of the newest record */
   int64_t latest_read_us;   /* monotonic; when the newest record was read */
--- a/test/claims_test.c
+++ b/test/claims_test.c
@@ -1,3 +1,6 @@
+/* Tests of the claims state machine in a simulation of several daemons (see
+   schedule.h): scenarios of faults, then expiry, retention, limits and
+   listings. */
 #include "schedule.h"
 
 #include <setjmp.h>
--- a/test/keytable_test.c
+++ b/test/keytable_test.c
@@ -1,3 +1,4 @@
+/* Tests of the key table: each row applies several entries to one key. */
 #include "core/keytable.h"
 
 #include <setjmp.h>
--- a/test/lease_test.c
+++ b/test/lease_test.c
@@ -1,3 +1,6 @@
+/* Tests of the lease state machine: several simulated daemons share a log, in
+   scenarios of faults and under random faults, and single readers that start
+   late. */
 #include "core/lease.h"
 #include "core/record.h"
 
--- a/test/orders_test.c
+++ b/test/orders_test.c
@@ -1,3 +1,4 @@
+/* Tests of the orders state machine against simulated engines. */
 #include "core/orders.h"
 
 #include <setjmp.h>
--- a/test/record_test.c
+++ b/test/record_test.c
@@ -1,3 +1,4 @@
+/* Tests of the encoding of log records, whole and malformed. */
 #include "core/record.h"
 #include "record.pb-c.h"
 
--- a/test/schedule_test.c
+++ b/test/schedule_test.c
@@ -1,3 +1,6 @@
+/* Randomised tests of the claims state machine: callers repeat calls against
+   simulated daemons while random faults start and end.  No call may run twice,
+   and every final answer has to be true. */
 #include "schedule.h"
 
 #include <setjmp.h>
