--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -7,14 +7,16 @@
 
 #include <signal.h>
 
-/* Between two looks at whether the last request has ended. */
+/* Interval at which a stop checks whether the last request has ended. */
 #define STOP_CHECK_MS 100
 
-/* The balancer sends new callers until it has seen two refusals, one a second;
-   requests are served for this time in any case. */
-#define STOP_LEAST_US (3500 * CLK_MS_US)
+/* The load balancer probes once a second and keeps sending new callers until
+   two probes have failed, so requests are served for at least this long after
+   a stop begins. */
+#define STOP_MIN_US (3500 * CLK_MS_US)
 
-/* The process ends so long before it would be killed. */
+/* The process exits this long before the end of the grace period, at which it
+   would be killed. */
 #define STOP_MARGIN_US (200 * CLK_MS_US)
 
 struct entry
@@ -26,69 +28,72 @@
   struct vdt_verdicts *verdicts;
   struct trf_traffic *traffic;
   struct fct_control *control;
-  uv_signal_t terminate;
-  uv_signal_t interrupt;
-  uv_signal_t reload;
+  uv_signal_t terminate; /* SIGTERM */
+  uv_signal_t interrupt; /* SIGINT */
+  uv_signal_t reload;    /* SIGHUP */
   uv_timer_t stop_check;
-  int64_t stopping_us;
+  int64_t stop_requested_us; /* 0: not stopping */
 };
 
+/* Ends the main loop when no request is in progress any more, or when the
+   grace period is nearly over.  */
 static void
 on_stop_check (uv_timer_t *timer)
 {
   struct entry *entry = timer->data;
-  int64_t age_us = clk_monotonic_us () - entry->stopping_us;
-  bool over = age_us >= entry->settings->stop_us - STOP_MARGIN_US;
-  if (over || (age_us >= STOP_LEAST_US && trf_is_idle (entry->traffic)))
+  int64_t elapsed_us = clk_monotonic_us () - entry->stop_requested_us;
+  bool expired = elapsed_us >= entry->settings->stop_us - STOP_MARGIN_US;
+  if (expired || (elapsed_us >= STOP_MIN_US && trf_is_idle (entry->traffic)))
     {
-      trf_log_busy (entry->traffic);
+      trf_log_in_progress (entry->traffic);
       uv_stop (entry->loop);
     }
 }
 
+/* Begins the graceful shutdown; later signals have no effect.  */
 static void
 on_terminate (uv_signal_t *handle, int number)
 {
   struct entry *entry = handle->data;
-  if (entry->stopping_us != 0)
+  if (entry->stop_requested_us != 0)
     {
       return;
     }
-  entry->stopping_us = clk_monotonic_us ();
+  entry->stop_requested_us = clk_monotonic_us ();
   lg_line (LOG_NOTICE, "stop_requested", "signal=%d", number);
-  trf_log_busy (entry->traffic);
+  trf_log_in_progress (entry->traffic);
   trf_stop (entry->traffic);
-  fct_leave (entry->control);
+  fct_leave_group (entry->control);
   uv_timer_start (&entry->stop_check, on_stop_check, STOP_CHECK_MS,
                   STOP_CHECK_MS);
 }
 
-/* Reads the settings again, for the level of the log; everything else takes a
-   start.  */
+/* Reloads the settings and applies their log level; every other setting takes
+   effect at a restart only.  */
 static void
 on_reload (uv_signal_t *handle, int number)
 {
   (void)number;
   struct entry *entry = handle->data;
-  GString *complaints = g_string_new (NULL);
-  struct ens_settings *fresh
-      = ens_load (entry->settings_path, complaints, NULL);
-  if (fresh == NULL)
+  GString *problems = g_string_new (NULL);
+  struct ens_settings *reloaded
+      = ens_load (entry->settings_path, problems, NULL);
+  if (reloaded == NULL)
     {
       lg_line (LOG_ERR, "reload_refused", "why=\"%s\"",
-               g_strdelimit (complaints->str, "\"\n", ' '));
+               g_strdelimit (problems->str, "\"\n", ' '));
     }
   else
     {
-      lg_set_level (fresh->log_level);
-      lg_line (LOG_NOTICE, "reloaded", "log_level=%d", fresh->log_level);
-      ens_destroy (fresh);
+      lg_set_level (reloaded->log_level);
+      lg_line (LOG_NOTICE, "reloaded", "log_level=%d", reloaded->log_level);
+      ens_destroy (reloaded);
     }
-  g_string_free (complaints, TRUE);
+  g_string_free (problems, TRUE);
 }
 
 static void
-watch_signals (struct entry *entry)
+start_signal_handlers (struct entry *entry)
 {
   uv_signal_init (entry->loop, &entry->terminate);
   uv_signal_init (entry->loop, &entry->interrupt);
@@ -103,9 +108,10 @@
   uv_signal_start (&entry->reload, on_reload, SIGHUP);
 }
 
-/* Runs the daemon until SIGTERM or SIGINT and the end of its last request.
-   SETTINGS, read from SETTINGS_PATH, are valid all the while.  Returns false
-   with ERR_SETTINGS or ERR_INTERNAL when it can't start.  */
+/* Runs the daemon until SIGTERM or SIGINT, and then until its last request has
+   ended.  SETTINGS, which were read from SETTINGS_PATH, must stay valid
+   meanwhile.  Returns false with ERR_SETTINGS or ERR_INTERNAL when the daemon
+   can't start.  */
 bool
 ent_run (const char *settings_path, struct ens_settings *settings,
          GError **error)
@@ -119,7 +125,7 @@
   lg_set_level (settings->log_level);
   lg_set_buffered (true);
   rcu_register_thread ();
-  watch_signals (&entry);
+  start_signal_handlers (&entry);
   entry.views = fvw_store_create ();
   entry.verdicts = vdt_create ();
   entry.traffic
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,5 +1,6 @@
-/* The entry daemon: starts its threads, and stops them without cutting a
-   request off. */
+/* The main loop of the entry daemon: starts the traffic and control threads,
+   handles signals and shuts down gracefully once the requests in progress have
+   ended. */
 #ifndef ENTRY_ENTRY_H
 #define ENTRY_ENTRY_H
 
--- a/src/entry/entry_metrics.c
+++ b/src/entry/entry_metrics.c
@@ -4,12 +4,12 @@
 
 static const struct
 {
-  size_t offset; /* in struct emt_metrics */
+  size_t offset; /* of the field in struct emt_metrics */
   enum cnt_type type;
   const char *name;
   const char *labels;
   const char *help;
-} definitions[] = {
+} series_definitions[] = {
   { offsetof (struct emt_metrics, requests), CNT_COUNTER,
     "kumquatthread_requests_total", "", "Requests read from callers" },
   { offsetof (struct emt_metrics, answers_2xx), CNT_COUNTER,
@@ -21,29 +21,29 @@
   { offsetof (struct emt_metrics, refused), CNT_COUNTER,
     "kumquatthread_refused_total", "",
     "Requests that were refused without having run" },
-  { offsetof (struct emt_metrics, unknown), CNT_COUNTER,
+  { offsetof (struct emt_metrics, outcome_unknown), CNT_COUNTER,
     "kumquatthread_outcome_unknown_total", "",
     "Requests that ended without an answer though they may have run" },
-  { offsetof (struct emt_metrics, broken_off), CNT_COUNTER,
+  { offsetof (struct emt_metrics, aborted), CNT_COUNTER,
     "kumquatthread_broken_off_total", "",
     "Answers that were begun and not finished" },
-  { offsetof (struct emt_metrics, callers_gone), CNT_COUNTER,
+  { offsetof (struct emt_metrics, callers_disconnected), CNT_COUNTER,
     "kumquatthread_callers_gone_total", "",
     "Requests whose callers left before the answer" },
   { offsetof (struct emt_metrics, attempts), CNT_COUNTER,
     "kumquatthread_attempts_total", "", "Requests sent to endpoints" },
-  { offsetof (struct emt_metrics, repeats), CNT_COUNTER,
+  { offsetof (struct emt_metrics, retries), CNT_COUNTER,
     "kumquatthread_repeats_total", "",
     "Requests sent to another endpoint again" },
   { offsetof (struct emt_metrics, resumed), CNT_COUNTER,
     "kumquatthread_resumed_total", "",
     "Streams that another endpoint went on with" },
-  { offsetof (struct emt_metrics, budget_spent), CNT_COUNTER,
+  { offsetof (struct emt_metrics, retries_denied), CNT_COUNTER,
     "kumquatthread_repeats_denied_total", "",
     "Repeats that the budget did not allow" },
   { offsetof (struct emt_metrics, events), CNT_COUNTER,
     "kumquatthread_events_total", "", "Stream events delivered" },
-  { offsetof (struct emt_metrics, under_way), CNT_GAUGE,
+  { offsetof (struct emt_metrics, in_progress), CNT_GAUGE,
     "kumquatthread_requests_under_way", "", "Requests not answered yet" },
   { offsetof (struct emt_metrics, config_version), CNT_GAUGE,
     "kumquatthread_config_version", "",
@@ -61,29 +61,31 @@
     "Time since the configuration was known to be the newest" },
 };
 
-/* Creates every series in SET, which outlives the result.  */
+/* Creates every series in SET, which must outlive the result.  The caller
+   frees the result with emt_destroy.  */
 struct emt_metrics *
 emt_create (struct cnt_set *set)
 {
   struct emt_metrics *metrics = g_new0 (struct emt_metrics, 1);
-  for (size_t i = 0; i < G_N_ELEMENTS (definitions); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (series_definitions); i++)
     {
       struct cnt_series **slot
           = (struct cnt_series **)(void *)((char *)metrics
-                                           + definitions[i].offset);
-      *slot = cnt_series (set, definitions[i].type, definitions[i].name,
-                          definitions[i].labels, definitions[i].help);
+                                           + series_definitions[i].offset);
+      *slot = cnt_series (
+          set, series_definitions[i].type, series_definitions[i].name,
+          series_definitions[i].labels, series_definitions[i].help);
     }
-  metrics->first_byte
+  metrics->first_byte_time
       = cnt_histogram (set, "kumquatthread_first_byte_seconds", "",
                        "From the whole request to the first byte or event");
-  metrics->whole
+  metrics->total_time
       = cnt_histogram (set, "kumquatthread_answer_seconds", "",
                        "From the whole request to the whole answer");
   return metrics;
 }
 
-/* Counts an answer of STATUS.  */
+/* Counts an answer with the HTTP status STATUS.  */
 void
 emt_count_answer (struct emt_metrics *metrics, uint32_t status)
 {
@@ -93,7 +95,7 @@
            1);
 }
 
-/* Frees METRICS; the series stay with their set.  */
+/* Frees METRICS; the series belong to their set and stay.  */
 void
 emt_destroy (struct emt_metrics *metrics)
 {
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -1,4 +1,4 @@
-/* The counters, gauges and histograms of an entry daemon. */
+/* The counters, gauges and histograms that an entry daemon exports. */
 #ifndef ENTRY_ENTRY_METRICS_H
 #define ENTRY_ENTRY_METRICS_H
 
@@ -10,23 +10,25 @@
   struct cnt_series *answers_2xx;
   struct cnt_series *answers_4xx;
   struct cnt_series *answers_5xx;
-  struct cnt_series *refused; /* 503 of our own: not run */
-  struct cnt_series *unknown; /* 502 and 504 of our own */
-  struct cnt_series *broken_off;
-  struct cnt_series *callers_gone;
-  struct cnt_series *attempts;
-  struct cnt_series *repeats;
-  struct cnt_series *resumed;
-  struct cnt_series *budget_spent;
+  struct cnt_series *refused; /* answered 503 by the daemon itself: not run */
+  struct cnt_series *outcome_unknown; /* answered 502 or 504 by the daemon
+                                         itself: may have run */
+  struct cnt_series *aborted;         /* answers begun and not finished */
+  struct cnt_series *callers_disconnected;
+  struct cnt_series *attempts; /* requests sent to endpoints */
+  struct cnt_series *retries;
+  struct cnt_series *resumed; /* streams continued by another endpoint */
+  struct cnt_series *retries_denied; /* by the retry budget */
   struct cnt_series *events;
-  struct cnt_series *under_way;
+  struct cnt_series *in_progress;
   struct cnt_series *config_version;
   struct cnt_series *endpoints;
   struct cnt_series *connections_opened;
-  struct cnt_series *log_dropped;
-  struct cnt_series *proof_age_ms;
-  struct cnt_series *first_byte;
-  struct cnt_series *whole;
+  struct cnt_series *log_dropped;     /* log lines over the rate limit */
+  struct cnt_series *proof_age_ms;    /* age of the newest proof that the
+                                         configuration is current */
+  struct cnt_series *first_byte_time; /* histogram */
+  struct cnt_series *total_time;      /* histogram */
 };
 
 struct emt_metrics *emt_create (struct cnt_set *set);
--- a/src/entry/exchange.c
+++ b/src/entry/exchange.c
@@ -30,7 +30,7 @@
   g_free (exchange->at_fault);
   g_ptr_array_free (exchange->tried, TRUE);
   evs_clear (&exchange->scanner);
-  cnt_add (exchange->traffic->metrics->under_way, -1);
+  cnt_add (exchange->traffic->metrics->in_progress, -1);
   uv_close ((uv_handle_t *)&exchange->timer, on_timer_closed);
 }
 
@@ -79,7 +79,7 @@
            (unsigned long)exchange->config->version,
            exchange->endpoint == NULL ? "-" : exchange->endpoint->id,
            exchange->path == NULL ? "-" : exchange->path->text);
-  cnt_observe_us (metrics->whole, now_us - exchange->arrived_us);
+  cnt_observe_us (metrics->total_time, now_us - exchange->arrived_us);
   release_target (exchange);
   destroy (exchange);
 }
@@ -119,7 +119,7 @@
 {
   bool refused = status == HTTP_STATUS_SERVICE_UNAVAILABLE;
   struct emt_metrics *metrics = exchange->traffic->metrics;
-  cnt_add (refused ? metrics->refused : metrics->unknown, 1);
+  cnt_add (refused ? metrics->refused : metrics->outcome_unknown, 1);
   exg_answer_plainly (exchange->traffic, exchange->caller, status,
                       exchange->id, refused ? exg_retry_after_s () : 0);
   exchange->caller = NULL;
@@ -156,7 +156,7 @@
 static void
 break_off (struct exchange *exchange, const char *why)
 {
-  cnt_add (exchange->traffic->metrics->broken_off, 1);
+  cnt_add (exchange->traffic->metrics->aborted, 1);
   nsv_abort (exchange->caller);
   exchange->caller = NULL;
   exg_finish (exchange, 0, why);
@@ -246,7 +246,7 @@
     {
       again = false;
       att_decide_unpaid (&request, end, &verdict);
-      cnt_add (exchange->traffic->metrics->budget_spent, 1);
+      cnt_add (exchange->traffic->metrics->retries_denied, 1);
     }
   lg_line (LOG_INFO, "attempt_ended",
            "request=%s end=%s status=%u endpoint=%s at_fault=%s again=%d "
@@ -267,7 +267,7 @@
       g_ptr_array_add (exchange->tried, fst_reference (exchange->endpoint));
     }
   release_target (exchange);
-  cnt_add (exchange->traffic->metrics->repeats, verdict.needs_budget);
+  cnt_add (exchange->traffic->metrics->retries, verdict.needs_budget);
   cnt_add (exchange->traffic->metrics->resumed, verdict.next == ATT_RESUME);
   exg_attempt (exchange, end);
 }
@@ -394,7 +394,7 @@
 {
   struct exchange *exchange = context;
   exchange->caller = NULL;
-  cnt_add (exchange->traffic->metrics->callers_gone, 1);
+  cnt_add (exchange->traffic->metrics->callers_disconnected, 1);
   if (exchange->attempt != NULL)
     {
       ncl_cancel (exchange->attempt);
--- a/src/entry/exchange_answer.c
+++ b/src/entry/exchange_answer.c
@@ -134,7 +134,7 @@
       exchange->first_event_us = now_us;
       average (&exchange->traffic->first_us,
                (double)(exchange->first_event_us - exchange->sent_us));
-      cnt_observe_us (metrics->first_byte,
+      cnt_observe_us (metrics->first_byte_time,
                       exchange->first_event_us - exchange->arrived_us);
       exchange->answer_chunked = !exchange->ends_with_connection;
       nsv_begin (exchange->caller, exchange->status,
@@ -214,7 +214,7 @@
     {
       take_success (exchange);
       exchange->first_event_us = clk_monotonic_us ();
-      cnt_observe_us (exchange->traffic->metrics->first_byte,
+      cnt_observe_us (exchange->traffic->metrics->first_byte_time,
                       exchange->first_event_us - exchange->arrived_us);
       exg_deliver_kept (exchange);
       return;
--- a/src/entry/exchange_intake.c
+++ b/src/entry/exchange_intake.c
@@ -186,7 +186,7 @@
   exchange->timer.data = exchange;
   g_hash_table_add (traffic->exchanges, exchange);
   nsv_bind (caller, exchange);
-  cnt_add (traffic->metrics->under_way, 1);
+  cnt_add (traffic->metrics->in_progress, 1);
   return exchange;
 }
 
--- a/src/entry/fleet_control.c
+++ b/src/entry/fleet_control.c
@@ -429,7 +429,7 @@
 /* Takes the daemon out of the group, from any thread, because it stops soon;
    it goes on following the configuration and the list.  */
 void
-fct_leave (struct fct_control *control)
+fct_leave_group (struct fct_control *control)
 {
   uv_async_send (&control->leave);
 }
--- a/src/entry/fleet_control.h
+++ b/src/entry/fleet_control.h
@@ -18,7 +18,7 @@
                                 struct vdt_verdicts *verdicts,
                                 fct_notify notify, void *context,
                                 GError **error);
-void fct_leave (struct fct_control *control);
+void fct_leave_group (struct fct_control *control);
 void fct_destroy (struct fct_control *control);
 
 #endif
--- a/src/entry/traffic.c
+++ b/src/entry/traffic.c
@@ -299,7 +299,7 @@
 
 /* Logs what is still under way.  */
 void
-trf_log_busy (const struct trf_traffic *traffic)
+trf_log_in_progress (const struct trf_traffic *traffic)
 {
   lg_line (LOG_NOTICE, "stopping", "under_way=%u connections=%u",
            nsv_busy (traffic->callers), nsv_open (traffic->callers));
--- a/src/entry/traffic.h
+++ b/src/entry/traffic.h
@@ -45,6 +45,6 @@
 int64_t trf_refresh (struct trf_traffic *traffic);
 void trf_stop (struct trf_traffic *traffic);
 bool trf_is_idle (const struct trf_traffic *traffic);
-void trf_log_busy (const struct trf_traffic *traffic);
+void trf_log_in_progress (const struct trf_traffic *traffic);
 
 #endif
