--- a/src/entry/exchange.c
+++ b/src/entry/exchange.c
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-/* When callers of requests that weren't run are asked to come back, at the
-   soonest and at the latest. */
+/* Bounds of the Retry-After delay given to callers whose requests weren't
+   run. */
 #define RETRY_AFTER_MIN_S 0.2
 #define RETRY_AFTER_MAX_S 0.6
 
@@ -18,7 +18,7 @@
 }
 
 static void
-destroy (struct exchange *exchange)
+destroy_exchange (struct exchange *exchange)
 {
   g_hash_table_remove (exchange->traffic->exchanges, exchange);
   flt_release (exchange->config);
@@ -27,14 +27,15 @@
   g_byte_array_free (exchange->body, TRUE);
   g_string_free (exchange->answer_head, TRUE);
   g_byte_array_free (exchange->answer, TRUE);
-  g_free (exchange->at_fault);
-  g_ptr_array_free (exchange->tried, TRUE);
+  g_free (exchange->failed_address);
+  g_ptr_array_free (exchange->tried_endpoints, TRUE);
   evs_clear (&exchange->scanner);
   cnt_add (exchange->traffic->metrics->in_progress, -1);
   uv_close ((uv_handle_t *)&exchange->timer, on_timer_closed);
 }
 
-/* Ends the use of the endpoint of the attempt under way.  */
+/* Releases the endpoint and the path of the current attempt and ends the
+   accounting of the request on them.  */
 static void
 release_target (struct exchange *exchange)
 {
@@ -56,7 +57,8 @@
     }
 }
 
-/* Logs how EXCHANGE ended, and frees it.  */
+/* Logs the OUTCOME of EXCHANGE, whose answer had the HTTP status STATUS (0:
+   none), and frees it.  */
 void
 exg_finish (struct exchange *exchange, uint32_t status, const char *outcome)
 {
@@ -73,7 +75,7 @@
                       ? -1
                       : (exchange->first_event_us - exchange->arrived_us)
                             / CLK_MS_US),
-           (long)(exchange->longest_pause_us / CLK_MS_US),
+           (long)(exchange->longest_gap_us / CLK_MS_US),
            (long)((now_us - exchange->arrived_us) / CLK_MS_US),
            (long)((exchange->deadline_us - now_us) / CLK_MS_US),
            (unsigned long)exchange->config->version,
@@ -81,13 +83,16 @@
            exchange->path == NULL ? "-" : exchange->path->text);
   cnt_observe_us (metrics->total_time, now_us - exchange->arrived_us);
   release_target (exchange);
-  destroy (exchange);
+  destroy_exchange (exchange);
 }
 
-/* Answers the request under way on CALLER with STATUS of our own.  */
+/* Answers the current request of CALLER with STATUS and an empty body.  The
+   answer bears the request's ID unless it is NULL, and a Retry-After header
+   unless RETRY_AFTER_S is 0.  */
 void
-exg_answer_plainly (struct trf_traffic *traffic, struct nsv_connection *caller,
-                    uint32_t status, const char *id, double retry_after_s)
+exg_answer_without_body (struct trf_traffic *traffic,
+                         struct nsv_connection *caller, uint32_t status,
+                         const char *id, double retry_after_s)
 {
   char headers[256] = "";
   int used = 0;
@@ -105,31 +110,35 @@
   nsv_answer (caller, status, headers, "", 0);
 }
 
-/* Returns when a caller whose request wasn't run may come back, in seconds,
-   spread so that callers don't return together.  */
+/* Returns the delay in seconds after which a caller may retry a request that
+   wasn't run.  It is random, so that callers don't all retry at the same
+   time.  */
 double
 exg_retry_after_s (void)
 {
   return g_random_double_range (RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S);
 }
 
-/* Gives EXCHANGE an answer of our own.  */
+/* Answers EXCHANGE with STATUS instead of an endpoint's answer, and ends it.
+   WHY goes into the log.  */
 static void
-answer_own (struct exchange *exchange, uint32_t status, const char *why)
+answer_with_error (struct exchange *exchange, uint32_t status, const char *why)
 {
   bool refused = status == HTTP_STATUS_SERVICE_UNAVAILABLE;
   struct emt_metrics *metrics = exchange->traffic->metrics;
   cnt_add (refused ? metrics->refused : metrics->outcome_unknown, 1);
-  exg_answer_plainly (exchange->traffic, exchange->caller, status,
-                      exchange->id, refused ? exg_retry_after_s () : 0);
+  exg_answer_without_body (exchange->traffic, exchange->caller, status,
+                           exchange->id, refused ? exg_retry_after_s () : 0);
   exchange->caller = NULL;
   exg_finish (exchange, status, why);
 }
 
-/* Delivers the endpoint's answer that was kept, with a length only if it had
-   one: an end of the connection doesn't tell that it is whole.  */
+/* Delivers the buffered answer of the endpoint and ends EXCHANGE.  The answer
+   gets a length only if it arrived with one or in chunks: otherwise the end of
+   the connection to the endpoint doesn't prove that it is complete, and the
+   caller's connection ends it too.  */
 void
-exg_deliver_kept (struct exchange *exchange)
+exg_deliver_buffered (struct exchange *exchange)
 {
   emt_count_answer (exchange->traffic->metrics, exchange->status);
   if (!exchange->ends_with_connection)
@@ -153,8 +162,10 @@
   exg_finish (exchange, exchange->status, "delivered");
 }
 
+/* Closes the caller's connection in the middle of an answer, and ends
+   EXCHANGE.  */
 static void
-break_off (struct exchange *exchange, const char *why)
+abort_answer (struct exchange *exchange, const char *why)
 {
   cnt_add (exchange->traffic->metrics->aborted, 1);
   nsv_abort (exchange->caller);
@@ -163,7 +174,7 @@
 }
 
 static const char *
-end_name (enum att_end end)
+attempt_end_name (enum att_end end)
 {
   static const char *const names[] = {
     [ATT_NOT_SENT] = "not_sent",   [ATT_NOT_RUN] = "not_run",
@@ -174,30 +185,33 @@
   return names[end];
 }
 
-/* Carries VERDICT out when EXCHANGE isn't sent again.  */
+/* Ends EXCHANGE as VERDICT says, after an attempt that ended by END and isn't
+   retried.  */
 static void
-conclude (struct exchange *exchange, const struct att_verdict *verdict,
-          enum att_end end)
+end_without_retry (struct exchange *exchange,
+                   const struct att_verdict *verdict, enum att_end end)
 {
   switch (verdict->next)
     {
     case ATT_PASS_FAILURE:
-      exg_deliver_kept (exchange);
+      exg_deliver_buffered (exchange);
       break;
     case ATT_BREAK_OFF:
-      break_off (exchange, end_name (end));
+      abort_answer (exchange, attempt_end_name (end));
       break;
     case ATT_ANSWER:
     case ATT_RETRY:
     case ATT_RESUME:
-      answer_own (exchange, verdict->status, end_name (end));
+      answer_with_error (exchange, verdict->status, attempt_end_name (end));
       break;
     }
 }
 
-/* Describes EXCHANGE and its attempts so far into REQUEST.  */
+/* Fills REQUEST with what att_decide has to know of EXCHANGE and its attempts
+   so far.  */
 void
-exg_describe (const struct exchange *exchange, struct att_request *request)
+exg_describe_request (const struct exchange *exchange,
+                      struct att_request *request)
 {
   *request = (struct att_request){
     .repeat = exchange->route->repeat,
@@ -211,7 +225,7 @@
 }
 
 /* Returns the index of the service of EXCHANGE in the configuration in force,
-   or FLT_NO_INDEX.  */
+   or FLT_NO_INDEX when it has been removed.  */
 uint32_t
 exg_service_index (const struct exchange *exchange)
 {
@@ -220,7 +234,9 @@
                         : flt_find_service (config, exchange->service);
 }
 
-/* Takes the end of the attempt under way by END, and decides what is next.  */
+/* Ends the current attempt, which ended by END: retries the request, resumes
+   the stream or answers the caller.  A retry that the budget denies is not
+   made.  */
 void
 exg_end_attempt (struct exchange *exchange, enum att_end end)
 {
@@ -234,45 +250,48 @@
     }
   struct att_request request;
   struct att_verdict verdict;
-  exg_describe (exchange, &request);
+  exg_describe_request (exchange, &request);
   att_decide (&request, end, &verdict);
   uint32_t service = exg_service_index (exchange);
-  bool again = verdict.next == ATT_RETRY || verdict.next == ATT_RESUME;
-  if (again
+  bool retry = verdict.next == ATT_RETRY || verdict.next == ATT_RESUME;
+  if (retry
       && (service == FLT_NO_INDEX
           || (verdict.needs_budget
               && !rbg_take (fst_budget (exchange->traffic->fleet, service),
                             clk_monotonic_us ()))))
     {
-      again = false;
+      retry = false;
       att_decide_unpaid (&request, end, &verdict);
       cnt_add (exchange->traffic->metrics->retries_denied, 1);
     }
   lg_line (LOG_INFO, "attempt_ended",
            "request=%s end=%s status=%u endpoint=%s at_fault=%s again=%d "
            "sent=%u may_have_run=%u last_event=%ld age_ms=%ld",
-           exchange->id, end_name (end), exchange->status,
+           exchange->id, attempt_end_name (end), exchange->status,
            exchange->endpoint == NULL ? "-" : exchange->endpoint->id,
-           exchange->at_fault == NULL ? "-" : exchange->at_fault, again,
-           exchange->sent, exchange->may_have_run,
+           exchange->failed_address == NULL ? "-" : exchange->failed_address,
+           retry, exchange->sent, exchange->may_have_run,
            (long)exchange->scanner.last_id,
            (long)((clk_monotonic_us () - exchange->sent_us) / CLK_MS_US));
-  if (!again)
+  if (!retry)
     {
-      conclude (exchange, &verdict, end);
+      end_without_retry (exchange, &verdict, end);
       return;
     }
   if (exchange->endpoint != NULL)
     {
-      g_ptr_array_add (exchange->tried, fst_reference (exchange->endpoint));
+      g_ptr_array_add (exchange->tried_endpoints,
+                       fst_reference (exchange->endpoint));
     }
   release_target (exchange);
   cnt_add (exchange->traffic->metrics->retries, verdict.needs_budget);
   cnt_add (exchange->traffic->metrics->resumed, verdict.next == ATT_RESUME);
-  exg_attempt (exchange, end);
+  exg_start_attempt (exchange, end);
 }
 
-/* Chooses where EXCHANGE goes next.  Returns false when there is no place.  */
+/* Chooses the endpoint, and for services with layers the path, of the next
+   attempt, and counts the request on them.  Returns false when there is
+   none.  */
 static bool
 choose_target (struct exchange *exchange)
 {
@@ -297,7 +316,7 @@
       return true;
     }
   exchange->endpoint
-      = fst_choose_endpoint (fleet, index, exchange->tried, now_us);
+      = fst_choose_endpoint (fleet, index, exchange->tried_endpoints, now_us);
   if (exchange->endpoint == NULL)
     {
       return false;
@@ -306,7 +325,7 @@
   return true;
 }
 
-/* Returns the bytes of the next attempt.  */
+/* Builds the HTTP request of the next attempt.  The caller frees it.  */
 static GString *
 build_request (struct exchange *exchange)
 {
@@ -347,20 +366,21 @@
   return request;
 }
 
-/* Sends EXCHANGE to an endpoint.  BEFORE is how the attempt before ended.  */
+/* Starts an attempt at an endpoint.  BEFORE is how the previous attempt ended;
+   ATT_NOT_SENT at first.  Without an endpoint EXCHANGE ends.  */
 void
-exg_attempt (struct exchange *exchange, enum att_end before)
+exg_start_attempt (struct exchange *exchange, enum att_end before)
 {
   if (!choose_target (exchange))
     {
       struct att_request request;
       struct att_verdict verdict;
-      exg_describe (exchange, &request);
+      exg_describe_request (exchange, &request);
       att_decide_unpaid (&request, exchange->sent == 0 ? ATT_NOT_SENT : before,
                          &verdict);
       lg_line (LOG_INFO, "no_endpoint", "request=%s service=%s sent=%u",
                exchange->id, exchange->service, exchange->sent);
-      conclude (exchange, &verdict, before);
+      end_without_retry (exchange, &verdict, before);
       return;
     }
   struct trf_traffic *traffic = exchange->traffic;
@@ -368,12 +388,12 @@
   evs_restart (&exchange->scanner);
   g_byte_array_set_size (exchange->answer, 0);
   exchange->status = 0;
-  exchange->pause_us = 0;
+  exchange->event_interval_us = 0;
   exchange->is_stream = false;
   exchange->not_executed = false;
-  g_clear_pointer (&exchange->at_fault, g_free);
+  g_clear_pointer (&exchange->failed_address, g_free);
   exchange->sent_us = clk_monotonic_us ();
-  exchange->heard_us = exchange->sent_us;
+  exchange->last_received_us = exchange->sent_us;
   exchange->attempt
       = ncl_send (traffic->client, exchange->endpoint->address, request->str,
                   request->len, false, &exg_attempt_events, exchange);
@@ -385,12 +405,13 @@
       exg_end_attempt (exchange, ATT_NOT_SENT);
       return;
     }
-  exg_watch (exchange);
+  exg_schedule_check (exchange);
 }
 
-/* Takes the caller's leaving: the endpoint stops working on its request.  */
+/* Ends an exchange whose caller has disconnected.  The attempt is cancelled,
+   so that the endpoint stops working on the request.  */
 void
-exg_caller_gone (void *context)
+exg_caller_disconnected (void *context)
 {
   struct exchange *exchange = context;
   exchange->caller = NULL;
@@ -402,7 +423,8 @@
   exg_finish (exchange, 0, "caller_gone");
 }
 
-/* Goes on reading an answer whose caller was slow.  */
+/* Resumes reading the endpoint's answer once a slow caller has received what
+   was sent.  */
 void
 exg_caller_drained (void *context)
 {
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -1,4 +1,5 @@
-/* One request of a caller, from its arrival to its answer. */
+/* One exchange: a request of a caller from its arrival to its answer, with
+   every attempt to have an endpoint serve it. */
 #ifndef ENTRY_EXCHANGE_H
 #define ENTRY_EXCHANGE_H
 
@@ -6,9 +7,9 @@
 
 void exg_start (struct trf_traffic *traffic, struct nsv_connection *caller,
                 const struct msg_message *request, const char *method);
-void exg_look_at_streams (struct trf_traffic *traffic,
-                          const struct fst_endpoint *engine);
-void exg_caller_gone (void *exchange);
+void exg_check_streams (struct trf_traffic *traffic,
+                        const struct fst_endpoint *engine);
+void exg_caller_disconnected (void *exchange);
 void exg_caller_drained (void *exchange);
 
 #endif
--- a/src/entry/exchange_answer.c
+++ b/src/entry/exchange_answer.c
@@ -1,4 +1,5 @@
-/* The endpoint's side of an exchange: takes its answer apart. */
+/* The endpoint's side of an exchange: checks the answer of an attempt,
+   delivers it and records what it proves about the endpoint. */
 #include "entry/exchange_private.h"
 
 #include "base/clock.h"
@@ -8,57 +9,66 @@
 
 #include <string.h>
 
-/* Bound on an answer that is kept whole before it is delivered. */
+/* Limit on an answer that is buffered whole before it is delivered. */
 #define ANSWER_BYTES_MAX ((size_t)16 * 1024 * 1024)
 
-/* An answer that is cut sooner after its last bytes is its endpoint's fault.
- */
-#define SUDDEN_US (800 * CLK_MS_US)
+/* An answer that is cut off within this time after its newest bytes is blamed
+   on its own endpoint; after a longer silence another engine of the path may
+   have caused the cut. */
+#define ABRUPT_CUT_US (800 * CLK_MS_US)
 
-/* Weight of the newest request in the moving averages of durations. */
-#define NEWEST_WEIGHT 0.1
+/* Weight of the newest sample in moving averages. */
+#define AVERAGE_WEIGHT 0.1
 
-/* Moves MEAN, which is 0 at first, towards VALUE.  */
+/* Adds the sample VALUE to the moving average MEAN, which is 0 before the
+   first sample.  */
 static void
-average (double *mean, double value)
+update_average (double *mean, double value)
 {
   *mean = *mean == 0 ? value
-                     : *mean * (1 - NEWEST_WEIGHT) + value * NEWEST_WEIGHT;
+                     : *mean * (1 - AVERAGE_WEIGHT) + value * AVERAGE_WEIGHT;
 }
 
-/* Blames the engine that the endpoint named, or else the endpoint itself.  */
+/* Records a failure, with its PROOF, of the engine that the endpoint named as
+   failed, or else of the endpoint itself.  REASON goes into the log.  A
+   refusal of another engine counts as EVD_UNABLE, since it doesn't show
+   whether that engine is alive.  */
 void
-exg_blame (struct exchange *exchange, enum evd_proof proof, const char *reason)
+exg_report_failure (struct exchange *exchange, enum evd_proof proof,
+                    const char *reason)
 {
   struct fst_fleet *fleet = exchange->traffic->fleet;
-  struct fst_endpoint *culprit = exchange->endpoint;
-  if (exchange->at_fault != NULL)
+  struct fst_endpoint *failed_endpoint = exchange->endpoint;
+  if (exchange->failed_address != NULL)
     {
       uint32_t service = exg_service_index (exchange);
-      culprit = service == FLT_NO_INDEX
-                    ? NULL
-                    : fst_find_address (fleet, service, exchange->at_fault);
-      if (proof == EVD_REFUSAL && culprit != exchange->endpoint)
+      failed_endpoint
+          = service == FLT_NO_INDEX
+                ? NULL
+                : fst_find_address (fleet, service, exchange->failed_address);
+      if (proof == EVD_REFUSAL && failed_endpoint != exchange->endpoint)
         {
           proof = EVD_UNABLE;
         }
     }
-  if (culprit != NULL)
+  if (failed_endpoint != NULL)
     {
-      fst_blame (fleet, culprit, proof, reason, clk_monotonic_us ());
+      fst_report_failure (fleet, failed_endpoint, proof, reason,
+                          clk_monotonic_us ());
     }
 }
 
-/* Takes the success of an attempt; every engine on its path proved itself.  */
+/* Records the success of an attempt for its endpoint, or for every engine on
+   its path, and how long it took.  */
 static void
-take_success (struct exchange *exchange)
+report_success (struct exchange *exchange)
 {
   int64_t latency_us = clk_monotonic_us () - exchange->sent_us;
   struct trf_traffic *traffic = exchange->traffic;
-  if (exchange->output_tokens > 0)
+  if (exchange->output_tokens_max > 0)
     {
       spn_observe (&traffic->token_us,
-                   (double)latency_us / exchange->output_tokens);
+                   (double)latency_us / exchange->output_tokens_max);
     }
   else
     {
@@ -66,16 +76,19 @@
     }
   if (exchange->path == NULL)
     {
-      fst_praise (traffic->fleet, exchange->endpoint, latency_us);
+      fst_report_success (traffic->fleet, exchange->endpoint, latency_us);
       return;
     }
   for (uint32_t i = 0; i < exchange->path->count; i++)
     {
-      fst_praise (traffic->fleet, exchange->path->parts[i], latency_us);
+      fst_report_success (traffic->fleet, exchange->path->parts[i],
+                          latency_us);
     }
 }
 
-/* Returns false when ANSWER can't be that of EXCHANGE's request.  */
+/* Handles the headers of an answer.  Returns false when ANSWER can't be that
+   of EXCHANGE's request: another request's id, no signature on a success, or
+   no stream where one has begun.  */
 static bool
 on_headers (void *context, uint32_t status, const struct msg_message *answer)
 {
@@ -83,13 +96,14 @@
   const char *id = msg_find (answer, PFH_REQUEST_ID);
   bool success = status >= 200 && status < 300;
   exchange->status = status;
-  exchange->heard_us = clk_monotonic_us ();
+  exchange->last_received_us = clk_monotonic_us ();
   exchange->ends_with_connection
       = ncl_ends_with_connection (exchange->attempt);
   exchange->not_executed = msg_find (answer, PFH_NOT_EXECUTED) != NULL
                            || status == HTTP_STATUS_MISDIRECTED_REQUEST;
-  g_free (exchange->at_fault);
-  exchange->at_fault = g_strdup (msg_find (answer, PFH_ENDPOINT_AT_FAULT));
+  g_free (exchange->failed_address);
+  exchange->failed_address
+      = g_strdup (msg_find (answer, PFH_ENDPOINT_AT_FAULT));
   if (id == NULL ? success : strcmp (id, exchange->id) != 0)
     {
       return false;
@@ -116,7 +130,9 @@
   return true;
 }
 
-/* Delivers the whole events in `answer'.  */
+/* Sends the complete events in `answer' to the caller, after the headers if
+   they are the first.  Pauses the reading of the endpoint's answer while the
+   caller is slow.  */
 static void
 deliver_events (struct exchange *exchange, uint32_t events)
 {
@@ -124,16 +140,16 @@
   int64_t now_us = clk_monotonic_us ();
   if (exchange->answer_begun)
     {
-      exchange->longest_pause_us
-          = MAX (exchange->longest_pause_us, now_us - exchange->delivered_us);
+      exchange->longest_gap_us = MAX (exchange->longest_gap_us,
+                                      now_us - exchange->last_delivered_us);
     }
-  exchange->delivered_us = now_us;
+  exchange->last_delivered_us = now_us;
   if (!exchange->answer_begun)
     {
       exchange->answer_begun = true;
       exchange->first_event_us = now_us;
-      average (&exchange->traffic->first_us,
-               (double)(exchange->first_event_us - exchange->sent_us));
+      update_average (&exchange->traffic->first_event_us,
+                      (double)(exchange->first_event_us - exchange->sent_us));
       cnt_observe_us (metrics->first_byte_time,
                       exchange->first_event_us - exchange->arrived_us);
       exchange->answer_chunked = !exchange->ends_with_connection;
@@ -148,12 +164,14 @@
     }
 }
 
+/* Handles bytes of a body: scans a stream for complete events, and buffers any
+   other answer.  */
 static void
 on_body (void *context, const char *bytes, size_t count)
 {
   struct exchange *exchange = context;
-  int64_t before_us = exchange->heard_us;
-  exchange->heard_us = clk_monotonic_us ();
+  int64_t before_us = exchange->last_received_us;
+  exchange->last_received_us = clk_monotonic_us ();
   if (!exchange->is_stream)
     {
       if (exchange->answer->len + count > ANSWER_BYTES_MAX)
@@ -166,7 +184,7 @@
                            (guint)count);
       return;
     }
-  int64_t pause_us = exchange->heard_us - before_us;
+  int64_t interval_us = exchange->last_received_us - before_us;
   g_byte_array_set_size (exchange->answer, 0);
   uint32_t events
       = evs_feed (&exchange->scanner, bytes, count, exchange->answer);
@@ -174,31 +192,34 @@
     {
       if (exchange->answer_begun)
         {
-          average (&exchange->pause_us, (double)pause_us);
+          update_average (&exchange->event_interval_us, (double)interval_us);
         }
       deliver_events (exchange, events);
     }
 }
 
-/* Takes the whole answer of a stream.  */
+/* Handles the end of a stream, which counts as complete only if it doesn't end
+   within an event and the connection's end isn't its only sign.  */
 static void
-complete_stream (struct exchange *exchange)
+end_stream (struct exchange *exchange)
 {
   if (exchange->scanner.pending->len > 0 || exchange->scanner.out_of_order
       || !exchange->answer_begun
       || (exchange->ends_with_connection && exchange->answer_chunked))
     {
-      exg_blame (exchange, EVD_DOUBT, "the stream ended within an event");
+      exg_report_failure (exchange, EVD_DOUBT,
+                          "the stream ended within an event");
       exg_end_attempt (exchange, ATT_SPOILED);
       return;
     }
-  take_success (exchange);
+  report_success (exchange);
   emt_count_answer (exchange->traffic->metrics, exchange->status);
   nsv_end (exchange->caller);
   exchange->caller = NULL;
   exg_finish (exchange, exchange->status, "delivered");
 }
 
+/* Handles the end of an answer.  */
 static void
 on_complete (void *context)
 {
@@ -206,58 +227,62 @@
   exchange->attempt = NULL;
   if (exchange->is_stream)
     {
-      complete_stream (exchange);
+      end_stream (exchange);
       return;
     }
   if (exchange->status < 400 && !exchange->not_executed
       && !exchange->answer_begun)
     {
-      take_success (exchange);
+      report_success (exchange);
       exchange->first_event_us = clk_monotonic_us ();
       cnt_observe_us (exchange->traffic->metrics->first_byte_time,
                       exchange->first_event_us - exchange->arrived_us);
-      exg_deliver_kept (exchange);
+      exg_deliver_buffered (exchange);
       return;
     }
   if (exchange->not_executed)
     {
-      exg_blame (exchange, exchange->path != NULL ? EVD_REFUSAL : EVD_DOUBT,
-                 "it didn't run a request");
+      exg_report_failure (exchange,
+                          exchange->path != NULL ? EVD_REFUSAL : EVD_DOUBT,
+                          "did not run a request");
       exg_end_attempt (exchange, ATT_NOT_RUN);
       return;
     }
-  exg_blame (exchange, EVD_DOUBT, "it failed a request");
+  exg_report_failure (exchange, EVD_DOUBT, "failed a request");
   exg_end_attempt (exchange, ATT_FAILED);
 }
 
-/* Returns what a cut answer proves against its endpoint: after a silence,
-   another engine of the path may have caused it.  */
+/* Returns what a cut answer proves about its endpoint.  After a silence
+   another engine of the path may have caused the cut.  */
 static enum evd_proof
-proof_of_cut (const struct exchange *exchange)
+classify_cut (const struct exchange *exchange)
 {
-  bool sudden = clk_monotonic_us () - exchange->heard_us < SUDDEN_US;
-  return exchange->path != NULL && sudden ? EVD_UNABLE : EVD_DOUBT;
+  bool abrupt
+      = clk_monotonic_us () - exchange->last_received_us < ABRUPT_CUT_US;
+  return exchange->path != NULL && abrupt ? EVD_UNABLE : EVD_DOUBT;
 }
 
+/* Handles an attempt whose connection failed or whose answer wasn't valid.  */
 static void
 on_failed (void *context, enum ncl_failure failure)
 {
   struct exchange *exchange = context;
   exchange->attempt = NULL;
-  g_clear_pointer (&exchange->at_fault, g_free);
+  g_clear_pointer (&exchange->failed_address, g_free);
   switch (failure)
     {
     case NCL_NOT_CONNECTED:
-      exg_blame (exchange, EVD_DEATH, "no connection");
+      exg_report_failure (exchange, EVD_DEATH, "connection failed");
       exg_end_attempt (exchange, ATT_NOT_SENT);
       break;
     case NCL_CUT_OFF:
-      exg_blame (exchange, proof_of_cut (exchange), "it cut an answer off");
+      exg_report_failure (exchange, classify_cut (exchange),
+                          "cut off an answer");
       exg_end_attempt (exchange, ATT_CUT_OFF);
       break;
     case NCL_MALFORMED:
     case NCL_FOREIGN:
-      exg_blame (exchange, EVD_DOUBT, "it spoiled an answer");
+      exg_report_failure (exchange, EVD_DOUBT, "sent an invalid answer");
       exg_end_attempt (exchange, ATT_SPOILED);
       break;
     }
--- a/src/entry/exchange_intake.c
+++ b/src/entry/exchange_intake.c
@@ -1,4 +1,5 @@
-/* The caller's side of an exchange: takes its request, or refuses it. */
+/* The caller's side of an exchange: checks and accepts a request, or refuses
+   it. */
 #include "entry/exchange_private.h"
 
 #include "base/clock.h"
@@ -9,23 +10,26 @@
 #include <string.h>
 #include <strings.h>
 
-/* Tokens of a request that doesn't state them. */
+/* Memory, in tokens, assumed for a request that doesn't state its token
+   counts. */
 #define DEFAULT_TOKENS 1000
 
-/* What is expected of streams until the first one has ended. */
-#define FIRST_TOKEN_US 25000.0
+/* Time for each output token that is assumed of streams until the first one
+   has ended. */
+#define INITIAL_TOKEN_US 25000.0
 
-/* True for headers of callers that this daemon sets itself, or keeps.  */
+/* True for headers that aren't forwarded from callers, since this daemon sets
+   them itself or they are meant for it alone.  */
 static bool
-is_replaced (const char *name)
+is_not_forwarded (const char *name)
 {
-  static const char *const replaced[] = {
+  static const char *const names[] = {
     "Host",   PFH_API_KEY,           PFH_ACCOUNT,       PFH_TIME_LEFT_MS,
     PFH_PATH, PFH_EXPECTED_ENDPOINT, PFH_LAST_EVENT_ID, PFH_ENGINE_PRIORITY,
   };
-  for (size_t i = 0; i < G_N_ELEMENTS (replaced); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (names); i++)
     {
-      if (strcasecmp (replaced[i], name) == 0)
+      if (strcasecmp (names[i], name) == 0)
         {
           return true;
         }
@@ -33,18 +37,20 @@
   return false;
 }
 
-/* Writes the start line of REQUEST and its headers that stay into HEAD.  */
+/* Appends the start line of REQUEST and the headers that are forwarded to
+   HEAD.  */
 static void
 copy_request_head (const struct msg_message *request, const char *method,
                    GString *head)
 {
   g_string_append_printf (head, "%s %s HTTP/1.1\r\n", method,
                           request->url->str);
-  msg_copy_headers (request, is_replaced, head);
+  msg_copy_headers (request, is_not_forwarded, head);
 }
 
-/* Returns the memory in tokens that a request of TEXT, "prompt,output", needs
-   at most.  OUTPUT is what it may write.  */
+/* Returns the memory, in tokens, that a request needs at most.  TEXT is
+   "prompt,output", its token counts, or NULL.  Sets OUTPUT to the number of
+   tokens that it may generate; 0 if TEXT states none.  */
 static double
 parse_tokens (const char *text, double *output)
 {
@@ -59,15 +65,16 @@
   return MAX (prompt + *output, 1);
 }
 
-/* Why a request isn't taken. */
+/* Why a request is refused. */
 struct refusal
 {
-  uint32_t status; /* 0: it is taken */
-  const char *why;
+  uint32_t status; /* HTTP status; 0: the request is accepted */
+  const char *why; /* for the log */
 };
 
-/* Finds the route and account of REQUEST in CONFIG, the newest at
-   PROVED_US.  */
+/* Sets ROUTE and ACCOUNT to those of REQUEST in CONFIG, which was known to be
+   the newest at PROVED_US.  While CONFIG may be out of date, an unknown route
+   gets 503 instead of 404, and requests that need a key get 503.  */
 static struct refusal
 check_request (struct trf_traffic *traffic, const struct flt_config *config,
                int64_t proved_us, const struct msg_message *request,
@@ -108,7 +115,7 @@
   return (struct refusal){ 0, "" };
 }
 
-/* Returns how long REQUEST is expected to run.  */
+/* Returns how long REQUEST is expected to run, in microseconds.  */
 static int64_t
 expected_us (const struct trf_traffic *traffic,
              const struct msg_message *request)
@@ -116,14 +123,15 @@
   double output = 0;
   parse_tokens (msg_find (request, PFH_TOKENS), &output);
   double token_us
-      = traffic->token_us == 0 ? FIRST_TOKEN_US : traffic->token_us;
+      = traffic->token_us == 0 ? INITIAL_TOKEN_US : traffic->token_us;
   return (int64_t)(output > 0 ? output * token_us : traffic->call_us);
 }
 
-/* True while REQUEST can be finished although the daemon may be stopping.  */
+/* True unless the daemon is stopping and REQUEST is expected to run for longer
+   than the stop allows.  */
 static bool
-takes_requests (const struct trf_traffic *traffic,
-                const struct msg_message *request)
+can_finish (const struct trf_traffic *traffic,
+            const struct msg_message *request)
 {
   return traffic->stopping_us == 0
          || spn_takes (clk_monotonic_us () - traffic->stopping_us,
@@ -131,25 +139,27 @@
                        expected_us (traffic, request));
 }
 
-/* Returns the time that the request on ROUTE has, from now on.  */
+/* Returns the time in microseconds that REQUEST on ROUTE has from now on: the
+   route's time-out, or what the request states if that is less.  */
 static int64_t
 time_left_us (const struct flt_route *route, const struct msg_message *request)
 {
-  const char *stated = msg_find (request, PFH_TIME_LEFT_MS);
+  const char *header = msg_find (request, PFH_TIME_LEFT_MS);
   int64_t left_us = route->timeout_us > 0 ? route->timeout_us : INT64_MAX / 4;
-  if (stated != NULL)
+  if (header != NULL)
     {
-      int64_t stated_us = g_ascii_strtoll (stated, NULL, 10) * CLK_MS_US;
+      int64_t stated_us = g_ascii_strtoll (header, NULL, 10) * CLK_MS_US;
       left_us = MIN (left_us, stated_us);
     }
   return left_us;
 }
 
-/* Makes the exchange of a request that is taken.  */
+/* Creates the exchange of an accepted request.  */
 static struct exchange *
-create (struct trf_traffic *traffic, struct nsv_connection *caller,
-        const struct msg_message *request, const char *method,
-        const struct flt_route *route, const struct flt_account *account)
+create_exchange (struct trf_traffic *traffic, struct nsv_connection *caller,
+                 const struct msg_message *request, const char *method,
+                 const struct flt_route *route,
+                 const struct flt_account *account)
 {
   struct exchange *exchange = g_new0 (struct exchange, 1);
   const char *id = msg_find (request, PFH_REQUEST_ID);
@@ -170,12 +180,12 @@
                        || msg_find (request, "Content-Length") != NULL
                        || msg_find (request, "Transfer-Encoding") != NULL;
   exchange->tokens = parse_tokens (msg_find (request, PFH_TOKENS),
-                                   &exchange->output_tokens);
+                                   &exchange->output_tokens_max);
   exchange->arrived_us = clk_monotonic_us ();
   exchange->deadline_us = exchange->arrived_us + time_left_us (route, request);
   exchange->answer_head = g_string_new (NULL);
   exchange->answer = g_byte_array_new ();
-  exchange->tried
+  exchange->tried_endpoints
       = g_ptr_array_new_with_free_func ((GDestroyNotify)fst_release);
   evs_init (&exchange->scanner);
   if (last_event != NULL)
@@ -190,7 +200,8 @@
   return exchange;
 }
 
-/* Takes REQUEST of CALLER: answers it at once, or sends it to an endpoint.  */
+/* Handles REQUEST of CALLER: refuses it at once, or creates an exchange and
+   starts its first attempt.  */
 void
 exg_start (struct trf_traffic *traffic, struct nsv_connection *caller,
            const struct msg_message *request, const char *method)
@@ -203,7 +214,7 @@
   cnt_add (traffic->metrics->requests, 1);
   struct refusal refusal
       = check_request (traffic, config, proved_us, request, &route, &account);
-  if (refusal.status == 0 && !takes_requests (traffic, request))
+  if (refusal.status == 0 && !can_finish (traffic, request))
     {
       refusal
           = (struct refusal){ HTTP_STATUS_SERVICE_UNAVAILABLE, "stopping" };
@@ -231,13 +242,13 @@
                (unsigned long)(config == NULL ? 0 : config->version),
                (long)((clk_monotonic_us () - proved_us) / CLK_MS_US));
       cnt_add (traffic->metrics->refused, refused);
-      exg_answer_plainly (traffic, caller, refusal.status, id,
-                          refused ? exg_retry_after_s () : 0);
+      exg_answer_without_body (traffic, caller, refusal.status, id,
+                               refused ? exg_retry_after_s () : 0);
       return;
     }
   struct exchange *exchange
-      = create (traffic, caller, request, method, route, account);
+      = create_exchange (traffic, caller, request, method, route, account);
   exchange->service = g_strdup (config->services[service].name);
   rbg_request (fst_budget (traffic->fleet, service), exchange->arrived_us);
-  exg_attempt (exchange, ATT_NOT_SENT);
+  exg_start_attempt (exchange, ATT_NOT_SENT);
 }
--- a/src/entry/exchange_private.h
+++ b/src/entry/exchange_private.h
@@ -1,4 +1,4 @@
-/* What the files of an exchange share. */
+/* State and functions that the source files of exchanges share. */
 #ifndef ENTRY_EXCHANGE_PRIVATE_H
 #define ENTRY_EXCHANGE_PRIVATE_H
 
@@ -6,70 +6,76 @@
 #include "entry/exchange.h"
 #include "net/event_scan.h"
 
+/* Size of the buffer of a request id, with the final null character. */
 #define EXG_ID_BYTES 64
 
 struct exchange
 {
   struct trf_traffic *traffic;
-  struct nsv_connection *caller; /* NULL once it is answered or gone */
-  struct flt_config *config;     /* the route is part of it */
+  struct nsv_connection *caller; /* NULL once it is answered or disconnected */
+  struct flt_config *config; /* reference; owns the route and the account */
   const struct flt_route *route;
-  const struct flt_account *account; /* NULL: a public route */
-  char *service;                     /* name */
+  const struct flt_account *account; /* NULL: the route is public */
+  char *service; /* name of the service that the route chose */
   char id[EXG_ID_BYTES];
-  GString *head;    /* the request's start line and headers that stay */
+  GString *head;    /* start line and forwarded headers of the request */
   GByteArray *body; /* of the request */
   bool has_body;
-  double tokens;        /* memory that it needs in an engine */
-  double output_tokens; /* that it may write at most; 0: no stream */
+  double tokens;            /* memory that the request needs in an engine */
+  double output_tokens_max; /* upper bound on the answer's length; 0: not a
+                               stream */
   int64_t arrived_us;
   int64_t deadline_us;
-  uv_timer_t timer;
+  uv_timer_t timer; /* for the next check, see exg_schedule_check */
 
-  /* The attempt under way. */
-  struct ncl_exchange *attempt;
-  struct fst_endpoint *endpoint; /* the request was sent to it */
+  /* State of the current attempt. */
+  struct ncl_exchange *attempt;  /* NULL: ended */
+  struct fst_endpoint *endpoint; /* reference; the request is sent to it */
   struct fst_path *path;         /* NULL for plain services */
-  uint32_t status;
+  uint32_t status;               /* of the answer; 0: none yet */
   int64_t sent_us;
-  double pause_us;   /* moving average between events; 0: none */
-  int64_t heard_us;  /* last bytes of the answer */
-  bool not_executed; /* the endpoint says so */
+  double event_interval_us; /* moving average of the time between events; 0:
+                               none yet */
+  int64_t last_received_us; /* when the newest bytes of the answer arrived */
+  bool not_executed; /* the endpoint states that it didn't run the request */
   bool is_stream;
-  bool ends_with_connection; /* nothing tells a whole answer from a torn one */
-  char *at_fault;            /* address of the engine that failed */
-  GString *answer_head;
-  GByteArray *answer;
+  bool ends_with_connection; /* the answer has neither a length nor chunks, so
+                                a cut one can't be told from a complete one */
+  char *failed_address; /* address of the failed engine as the endpoint stated
+                           it, or NULL */
+  GString *answer_head; /* headers for the caller */
+  GByteArray *answer;   /* the buffered body, or the events to deliver next */
 
-  /* All attempts. */
-  GPtrArray *tried; /* struct fst_endpoint, references */
-  uint32_t attempts;
-  uint32_t sent;         /* ended ones that arrived or may have */
-  uint32_t may_have_run; /* ended ones */
+  /* State over all attempts. */
+  GPtrArray *tried_endpoints; /* references to struct fst_endpoint */
+  uint32_t attempts;          /* started */
+  uint32_t sent;         /* ended attempts whose request arrived or may have */
+  uint32_t may_have_run; /* ended attempts in which the request may have run */
   struct evs_scanner scanner;
-  bool answer_begun;
-  bool answer_chunked; /* its end says that it is whole */
-  int64_t first_event_us;
-  int64_t delivered_us;     /* when the caller got the newest event */
-  int64_t longest_pause_us; /* between events that the caller got */
+  bool answer_begun;         /* the caller has the headers of a stream */
+  bool answer_chunked;       /* sent to the caller in chunks, whose end marks a
+                                complete answer */
+  int64_t first_event_us;    /* when the answer began; 0: not yet */
+  int64_t last_delivered_us; /* when the newest event was sent to the caller */
+  int64_t longest_gap_us;    /* longest between two deliveries to the caller */
 };
 
 extern const struct ncl_events exg_attempt_events;
 
-void exg_answer_plainly (struct trf_traffic *traffic,
-                         struct nsv_connection *caller, uint32_t status,
-                         const char *id, double retry_after_s);
+void exg_answer_without_body (struct trf_traffic *traffic,
+                              struct nsv_connection *caller, uint32_t status,
+                              const char *id, double retry_after_s);
 double exg_retry_after_s (void);
-void exg_deliver_kept (struct exchange *exchange);
+void exg_deliver_buffered (struct exchange *exchange);
 void exg_finish (struct exchange *exchange, uint32_t status,
                  const char *outcome);
 uint32_t exg_service_index (const struct exchange *exchange);
-void exg_describe (const struct exchange *exchange,
-                   struct att_request *request);
-void exg_attempt (struct exchange *exchange, enum att_end before);
+void exg_describe_request (const struct exchange *exchange,
+                           struct att_request *request);
+void exg_start_attempt (struct exchange *exchange, enum att_end before);
 void exg_end_attempt (struct exchange *exchange, enum att_end end);
-void exg_blame (struct exchange *exchange, enum evd_proof proof,
-                const char *reason);
-void exg_watch (struct exchange *exchange);
+void exg_report_failure (struct exchange *exchange, enum evd_proof proof,
+                         const char *reason);
+void exg_schedule_check (struct exchange *exchange);
 
 #endif
--- a/src/entry/exchange_watch.c
+++ b/src/entry/exchange_watch.c
@@ -1,6 +1,7 @@
-/* Watches exchanges: their deadlines, and streams that fall silent.  Work that
-   depends on a dead engine stalls; the first engine of the path then tells
-   which one it waits for, and the streams over it go on elsewhere. */
+/* Checks the deadlines of exchanges and detects stalled streams.  Work that
+   depends on a dead engine stalls; the first engine of the path then reports
+   which engine it waits for, and the streams over that engine are resumed on
+   other paths. */
 #include "entry/exchange_private.h"
 
 #include "base/clock.h"
@@ -9,57 +10,63 @@
 
 #include <string.h>
 
-/* A stream is silent when it makes no event for this many of its usual pauses
-   and the constant beside them. */
-#define SILENCE_PAUSES 4.0
-#define SILENCE_US (60 * CLK_MS_US)
-#define SILENCE_LEAST_US (100 * CLK_MS_US)
-#define SILENCE_MOST_US (700 * CLK_MS_US)
+/* A stream counts as silent when no event has come for this many times its
+   average interval between events, plus the margin; the result is kept between
+   the two bounds. */
+#define SILENCE_INTERVALS 4.0
+#define SILENCE_MARGIN_US (60 * CLK_MS_US)
+#define SILENCE_MIN_US (100 * CLK_MS_US)
+#define SILENCE_MAX_US (700 * CLK_MS_US)
 
-/* The same before its first event, in usual times to it. */
-#define FIRST_PAUSES 3.0
-#define FIRST_LEAST_US (160 * CLK_MS_US)
+/* Before its first event a stream counts as silent after this many times the
+   average time to a first event, plus the same margin, with a lower bound of
+   its own. */
+#define FIRST_EVENT_FACTOR 3.0
+#define FIRST_EVENT_MIN_US (160 * CLK_MS_US)
 
-/* While it stays silent it is looked at again after this time. */
-#define LOOK_AGAIN_US (50 * CLK_MS_US)
+/* A stream that stays silent is checked again at this interval. */
+#define SILENCE_RECHECK_US (50 * CLK_MS_US)
 
-/* Repeats that the budget must have left before an attempt is given up, since
-   the next one may be refused first. */
-#define RESUME_REPEATS 4
+/* Retries that the budget must still allow before a silent attempt is
+   abandoned: more than one, since the next attempt may be refused first. */
+#define ABANDON_RETRIES_MIN 4
 
-static void look (struct exchange *exchange);
+static void check_exchange (struct exchange *exchange);
 
-/* Returns how long EXCHANGE's answer may be silent before it is looked into,
-   or 0 for no bound.  */
+/* Returns how long EXCHANGE's answer may be silent before its engine is asked
+   for a report, or 0 for no limit: only requests with a path through engines
+   have one.  */
 static int64_t
-silence_bound_us (const struct exchange *exchange)
+silence_limit_us (const struct exchange *exchange)
 {
   if (exchange->path == NULL)
     {
       return 0;
     }
-  double usual_us = exchange->answer_begun
-                        ? exchange->pause_us * SILENCE_PAUSES
-                        : exchange->traffic->first_us * FIRST_PAUSES;
-  int64_t bound_us = (int64_t)usual_us + SILENCE_US;
-  int64_t least_us
-      = exchange->answer_begun ? SILENCE_LEAST_US : FIRST_LEAST_US;
-  return CLAMP (bound_us, least_us, SILENCE_MOST_US);
+  double expected_us
+      = exchange->answer_begun
+            ? exchange->event_interval_us * SILENCE_INTERVALS
+            : exchange->traffic->first_event_us * FIRST_EVENT_FACTOR;
+  int64_t limit_us = (int64_t)expected_us + SILENCE_MARGIN_US;
+  int64_t min_us
+      = exchange->answer_begun ? SILENCE_MIN_US : FIRST_EVENT_MIN_US;
+  return CLAMP (limit_us, min_us, SILENCE_MAX_US);
 }
 
-/* Returns how long EXCHANGE's endpoint has said nothing.  A caller that is
-   slow holds its answer up by itself.  */
+/* Returns how long EXCHANGE's endpoint has sent nothing.  A slow caller pauses
+   the reading of its answer, so its time doesn't count.  */
 static int64_t
-silent_us (const struct exchange *exchange, int64_t now_us)
+silence_us (const struct exchange *exchange, int64_t now_us)
 {
-  bool held_up = exchange->caller != NULL && nsv_is_slow (exchange->caller);
-  return held_up ? 0 : now_us - exchange->heard_us;
+  bool caller_slow
+      = exchange->caller != NULL && nsv_is_slow (exchange->caller);
+  return caller_slow ? 0 : now_us - exchange->last_received_us;
 }
 
-/* True when a part of EXCHANGE's path was proved dead.  One that refused
-   others may still be at work on this one.  */
+/* True when an engine on EXCHANGE's path was found dead.  One that only
+   refused other requests may still be working on this one.  */
 static bool
-path_failed (const struct exchange *exchange)
+path_has_dead_engine (const struct exchange *exchange)
 {
   for (uint32_t i = 0; i < exchange->path->count; i++)
     {
@@ -72,23 +79,24 @@
   return false;
 }
 
-/* True when the attempt under way may be given up for another one: the request
-   allows it, and so does the budget.  */
+/* True when the current attempt may be abandoned for another one: both the
+   request and the retry budget allow it.  */
 static bool
 may_abandon (struct exchange *exchange)
 {
   struct att_request request;
   uint32_t service = exg_service_index (exchange);
-  exg_describe (exchange, &request);
+  exg_describe_request (exchange, &request);
   return service != FLT_NO_INDEX && att_may_abandon (&request)
          && rbg_allows (fst_budget (exchange->traffic->fleet, service),
-                        RESUME_REPEATS, clk_monotonic_us ());
+                        ABANDON_RETRIES_MIN, clk_monotonic_us ());
 }
 
-/* Looks at every exchange whose path begins with ENGINE again.  */
+/* Checks every exchange whose path begins at ENGINE again, since a report of
+   it has arrived.  */
 void
-exg_look_at_streams (struct trf_traffic *traffic,
-                     const struct fst_endpoint *engine)
+exg_check_streams (struct trf_traffic *traffic,
+                   const struct fst_endpoint *engine)
 {
   GPtrArray *streams = g_ptr_array_new ();
   GHashTableIter iter;
@@ -104,27 +112,30 @@
     }
   for (guint i = 0; i < streams->len; i++)
     {
-      look (g_ptr_array_index (streams, i));
+      check_exchange (g_ptr_array_index (streams, i));
     }
   g_ptr_array_free (streams, TRUE);
 }
 
-/* Gives the attempt under way up, so that another one follows.  */
+/* Cancels the current attempt as silent, so that the stream is resumed on
+   another path.  */
 static void
-abandon (struct exchange *exchange)
+abandon_attempt (struct exchange *exchange)
 {
   ncl_cancel (exchange->attempt);
-  g_clear_pointer (&exchange->at_fault, g_free);
+  g_clear_pointer (&exchange->failed_address, g_free);
   exg_end_attempt (exchange, ATT_SILENT);
 }
 
-/* Looks at EXCHANGE: its deadline, and whether its stream is silent.  */
+/* Ends EXCHANGE at its deadline.  For a silent stream, abandons the attempt if
+   an engine of its path is dead, or else asks the first engine for a
+   report.  */
 static void
-look (struct exchange *exchange)
+check_exchange (struct exchange *exchange)
 {
   int64_t now_us = clk_monotonic_us ();
-  int64_t bound_us = silence_bound_us (exchange);
-  int64_t quiet_us = silent_us (exchange, now_us);
+  int64_t limit_us = silence_limit_us (exchange);
+  int64_t silent_for_us = silence_us (exchange, now_us);
   if (now_us >= exchange->deadline_us)
     {
       if (exchange->attempt != NULL)
@@ -134,39 +145,40 @@
       exg_end_attempt (exchange, ATT_TIMED_OUT);
       return;
     }
-  if (bound_us > 0 && quiet_us >= bound_us)
+  if (limit_us > 0 && silent_for_us >= limit_us)
     {
-      /* A path that is slow but whole isn't given up: reading the prompt again
-         elsewhere would add to the load that slows it. */
-      if (path_failed (exchange) && may_abandon (exchange))
+      /* A slow path without a dead engine isn't abandoned: processing the
+         prompt again elsewhere would add to the load that slows it down. */
+      if (path_has_dead_engine (exchange) && may_abandon (exchange))
         {
-          abandon (exchange);
+          abandon_attempt (exchange);
           return;
         }
       inq_ask (exchange->traffic, exchange->endpoint, now_us);
     }
-  exg_watch (exchange);
+  exg_schedule_check (exchange);
 }
 
 static void
 on_timer (uv_timer_t *timer)
 {
-  look (timer->data);
+  check_exchange (timer->data);
 }
 
-/* Sets the timer of EXCHANGE to what is due next: a silence or the
-   deadline.  */
+/* Sets the timer of EXCHANGE to its next check: when its stream counts as
+   silent, or at its deadline.  */
 void
-exg_watch (struct exchange *exchange)
+exg_schedule_check (struct exchange *exchange)
 {
   int64_t now_us = clk_monotonic_us ();
   int64_t due_us = exchange->deadline_us;
-  int64_t bound_us = silence_bound_us (exchange);
-  if (bound_us > 0)
+  int64_t limit_us = silence_limit_us (exchange);
+  if (limit_us > 0)
     {
-      int64_t silent_at_us = exchange->heard_us + bound_us;
-      due_us = MIN (due_us, silent_at_us > now_us ? silent_at_us
-                                                  : now_us + LOOK_AGAIN_US);
+      int64_t silent_at_us = exchange->last_received_us + limit_us;
+      due_us
+          = MIN (due_us, silent_at_us > now_us ? silent_at_us
+                                               : now_us + SILENCE_RECHECK_US);
     }
   uint64_t delay_ms = (uint64_t)MAX ((due_us - now_us) / CLK_MS_US, 0) + 1;
   uv_timer_start (&exchange->timer, on_timer, delay_ms, 0);
--- a/src/entry/fleet_state.c
+++ b/src/entry/fleet_state.c
@@ -781,8 +781,8 @@
 
 /* Takes a success of ENDPOINT, which took LATENCY_US.  */
 void
-fst_praise (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
-            int64_t latency_us)
+fst_report_success (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
+                    int64_t latency_us)
 {
   bool was_dead = endpoint->evidence.dead;
   evd_success (&endpoint->evidence, latency_us);
@@ -791,8 +791,8 @@
 
 /* Takes a failure of ENDPOINT; REASON goes into the log.  */
 void
-fst_blame (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
-           enum evd_proof proof, const char *reason, int64_t now_us)
+fst_report_failure (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
+                    enum evd_proof proof, const char *reason, int64_t now_us)
 {
   bool was_dead = endpoint->evidence.dead;
   bool rests = evd_failure (&endpoint->evidence, proof, now_us);
--- a/src/entry/fleet_state.h
+++ b/src/entry/fleet_state.h
@@ -63,10 +63,11 @@
                                   double tokens, int64_t now_us);
 struct fst_endpoint *fst_find_address (struct fst_fleet *fleet,
                                        uint32_t service, const char *address);
-void fst_blame (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
-                enum evd_proof proof, const char *reason, int64_t now_us);
-void fst_praise (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
-                 int64_t latency_us);
+void fst_report_failure (struct fst_fleet *fleet,
+                         struct fst_endpoint *endpoint, enum evd_proof proof,
+                         const char *reason, int64_t now_us);
+void fst_report_success (struct fst_fleet *fleet,
+                         struct fst_endpoint *endpoint, int64_t latency_us);
 
 struct fst_endpoint *fst_reference (struct fst_endpoint *endpoint);
 void fst_release (struct fst_endpoint *endpoint);
--- a/src/entry/inquiry.c
+++ b/src/entry/inquiry.c
@@ -57,8 +57,9 @@
           = fst_find_address (traffic->fleet, engine->service, stall->address);
       if (culprit != NULL)
         {
-          fst_blame (traffic->fleet, culprit, EVD_DEATH,
-                     "an engine waits for it in vain", clk_monotonic_us ());
+          fst_report_failure (traffic->fleet, culprit, EVD_DEATH,
+                              "an engine waits for it in vain",
+                              clk_monotonic_us ());
         }
     }
 }
@@ -92,10 +93,10 @@
     }
   else if (status == 0)
     {
-      fst_blame (traffic->fleet, inquiry->engine, EVD_DEATH,
-                 "it didn't answer a question", clk_monotonic_us ());
+      fst_report_failure (traffic->fleet, inquiry->engine, EVD_DEATH,
+                          "it didn't answer a question", clk_monotonic_us ());
     }
-  exg_look_at_streams (traffic, inquiry->engine);
+  exg_check_streams (traffic, inquiry->engine);
 }
 
 static void
--- a/src/entry/traffic.c
+++ b/src/entry/traffic.c
@@ -54,7 +54,7 @@
 
 static const struct nsv_events caller_events = {
   .request = on_caller_request,
-  .gone = exg_caller_gone,
+  .gone = exg_caller_disconnected,
   .drained = exg_caller_drained,
 };
 
--- a/src/entry/traffic.h
+++ b/src/entry/traffic.h
@@ -30,8 +30,9 @@
   bool was_ready;
   double token_us; /* longest that streams lately took for each token they may
                       write at most; 0: none yet */
-  double first_us; /* moving average of the time to streams' first events */
-  double call_us;  /* longest that calls of plain services lately took */
+  double
+      first_event_us; /* moving average of the time to streams' first events */
+  double call_us;     /* longest that calls of plain services lately took */
   GHashTable *exchanges; /* set of those under way */
   GHashTable *inquiries; /* by engine: questions about stalls */
 };
