--- a/src/entry/exchange.c
+++ b/src/entry/exchange.c
@@ -42,7 +42,7 @@
   exchange->attempt = NULL;
   if (exchange->path != NULL)
     {
-      fst_end_path (exchange->path, exchange->tokens);
+      fst_end_request (exchange->path, exchange->tokens);
       fst_release_path (exchange->path);
       exchange->path = NULL;
     }
@@ -312,7 +312,7 @@
           return false;
         }
       exchange->endpoint = fst_reference (exchange->path->parts[0]);
-      fst_begin_path (exchange->path, exchange->tokens);
+      fst_begin_request (exchange->path, exchange->tokens);
       return true;
     }
   exchange->endpoint
--- a/src/entry/fleet_state.c
+++ b/src/entry/fleet_state.c
@@ -8,57 +8,60 @@
 #include <math.h>
 #include <string.h>
 
-/* Costs of a path beside its engines' steps: the way between two engines of a
-   data centre and the wait for the next pass, and the same between data
-   centres. */
+/* Time, beside its engines' steps, that a path takes between two engines, with
+   the wait for the next engine's step: within a data centre, and between two
+   of them. */
 #define HOP_MS 0.3
 #define ZONE_HOP_MS 12.0
 
-/* An engine that failed lately costs so much more, until it has proved
-   itself. */
-#define DOUBT_FACTOR 3.0
+/* Multiplies the cost of an engine that failed lately, until successes clear
+   its failures. */
+#define UNPROVEN_FACTOR 3.0
 
-/* Paths are sought again after this time even if nothing changed, since
-   endpoints end their rest. */
+/* Paths are computed again after this time even if the view hasn't changed,
+   since endpoints become usable again when their back-off ends. */
 #define PATHS_VALID_US (200 * CLK_MS_US)
 
-/* Searches of paths, by data centre, and how much dearer engines get for the
-   next search once a path uses them. */
+/* Number of path searches for each data centre, and the factor by which an
+   engine's cost rises for the following searches once a path uses it. */
 #define PATHS_PER_ZONE 5
-#define USED_FACTOR 3.0
+#define REUSE_FACTOR 3.0
 
-/* Preference for paths of the daemon's own data centre. */
+/* Weight of paths that begin in the daemon's own data centre, relative to 1
+   for others. */
 #define HOME_WEIGHT 1.15
 
-/* Bounds the random part of a request's load. */
-#define RANDOM_LEAST 1e-6
+/* Lower bound of the random number whose logarithm is taken in path_load. */
+#define RANDOM_MIN 1e-6
 
-/* From this share of an endpoint's room on, another one is sought first; what
-   is beyond it weighs so much more. */
-#define FULL_SHARE 0.9
-#define OVERFULL_FACTOR 10.0
+/* Fill of a path above which others are preferred, and the factor by which the
+   excess over it raises the path's cost. */
+#define FULL_FILL 0.9
+#define OVERLOAD_FACTOR 10.0
 
-/* Share of the fleet's requests that is assumed to be this daemon's until the
-   group tells. */
-#define LEAST_SHARE 0.02
+/* Lower bound of this daemon's share of the fleet's capacity.  Used until the
+   group reports the actual share. */
+#define SHARE_MIN 0.02
 
+/* What is kept for one service. */
 struct service_state
 {
   struct rbg_budget budget;
-  GPtrArray *paths; /* struct fst_path; NULL: not sought */
-  int64_t paths_until_us;
+  GPtrArray *paths;       /* struct fst_path; NULL: to be computed */
+  int64_t paths_until_us; /* when the paths expire */
 };
 
+/* State of the fleet; used by the traffic thread alone. */
 struct fst_fleet
 {
   char *data_centre;
   struct rbg_params budget_params;
-  struct vdt_verdicts *verdicts; /* for the control thread */
-  struct fvw_view *view;
-  GHashTable *endpoints; /* id to struct fst_endpoint */
-  GPtrArray *order;      /* the same, in the order of the view */
-  GPtrArray *zones;      /* names, allocated */
-  GHashTable *services;  /* name to struct service_state */
+  struct vdt_verdicts *verdicts; /* read by the control thread */
+  struct fvw_view *view;         /* in force; NULL before the first */
+  GHashTable *endpoints;         /* id to struct fst_endpoint */
+  GPtrArray *ordered;   /* the same endpoints, in the order of the view */
+  GPtrArray *zones;     /* names of data centres, allocated */
+  GHashTable *services; /* name to struct service_state */
 };
 
 static void
@@ -72,8 +75,9 @@
   g_free (service);
 }
 
-/* Creates the state of a daemon in DATA_CENTRE that knows of no endpoint.
-   VERDICTS, which must outlive it, learn which endpoints are dead.  */
+/* Creates the state of a daemon in DATA_CENTRE, without endpoints.  Endpoints
+   that are found dead are recorded in VERDICTS, which must outlive the
+   result.  */
 struct fst_fleet *
 fst_create (const char *data_centre, const struct rbg_params *budget,
             struct vdt_verdicts *verdicts)
@@ -84,27 +88,27 @@
   fleet->verdicts = verdicts;
   fleet->endpoints = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                             (GDestroyNotify)fst_release);
-  fleet->order = g_ptr_array_new ();
+  fleet->ordered = g_ptr_array_new ();
   fleet->zones = g_ptr_array_new_with_free_func (g_free);
   fleet->services = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                            destroy_service);
   return fleet;
 }
 
-/* Frees FLEET; endpoints that requests use stay until these end.  */
+/* Frees FLEET; endpoints that requests use stay until these requests end.  */
 void
 fst_destroy (struct fst_fleet *fleet)
 {
   fvw_release (fleet->view);
   g_hash_table_destroy (fleet->services);
   g_hash_table_destroy (fleet->endpoints);
-  g_ptr_array_free (fleet->order, TRUE);
+  g_ptr_array_free (fleet->ordered, TRUE);
   g_ptr_array_free (fleet->zones, TRUE);
   g_free (fleet->data_centre);
   g_free (fleet);
 }
 
-/* Returns ENDPOINT with one more reference.  */
+/* Adds a reference to ENDPOINT and returns it.  */
 struct fst_endpoint *
 fst_reference (struct fst_endpoint *endpoint)
 {
@@ -112,7 +116,7 @@
   return endpoint;
 }
 
-/* Gives a reference to ENDPOINT back; the last one frees it.  */
+/* Releases a reference to ENDPOINT; the last one frees it.  */
 void
 fst_release (struct fst_endpoint *endpoint)
 {
@@ -124,7 +128,7 @@
     }
 }
 
-/* Returns PATH with one more reference.  */
+/* Adds a reference to PATH and returns it.  */
 struct fst_path *
 fst_reference_path (struct fst_path *path)
 {
@@ -132,7 +136,7 @@
   return path;
 }
 
-/* Gives a reference to PATH back; the last one frees it.  */
+/* Releases a reference to PATH; the last one frees it.  */
 void
 fst_release_path (struct fst_path *path)
 {
@@ -150,11 +154,12 @@
   g_free (path);
 }
 
-/* Counts a request of TOKENS on every part of PATH.  */
+/* Counts a request that needs memory for TOKENS on every part of PATH.  Ended
+   by fst_end_request.  */
 void
-fst_begin_path (struct fst_path *path, double tokens)
+fst_begin_request (struct fst_path *path, double tokens)
 {
-  path->parts[0]->begun++;
+  path->parts[0]->first_requests++;
   for (uint32_t i = 0; i < path->count; i++)
     {
       path->parts[i]->used_tokens += tokens;
@@ -162,11 +167,11 @@
     }
 }
 
-/* Ends what fst_begin_path began.  */
+/* Ends the count that fst_begin_request began with the same arguments.  */
 void
-fst_end_path (struct fst_path *path, double tokens)
+fst_end_request (struct fst_path *path, double tokens)
 {
-  path->parts[0]->begun--;
+  path->parts[0]->first_requests--;
   for (uint32_t i = 0; i < path->count; i++)
     {
       path->parts[i]->used_tokens -= tokens;
@@ -174,7 +179,7 @@
     }
 }
 
-/* Returns the index of the data centre NAME, added at need.  */
+/* Returns the index of the data centre NAME, which is added if it is new.  */
 static uint32_t
 zone_index (struct fst_fleet *fleet, const char *name)
 {
@@ -189,18 +194,19 @@
   return fleet->zones->len - 1;
 }
 
-/* Fills what SEEN and its kind of accelerator say of ENDPOINT.  */
+/* Updates ENDPOINT from ENTRY of the view and from the configuration of its
+   kind of accelerator.  */
 static void
-describe (struct fst_fleet *fleet, const struct rst_endpoint *seen,
-          struct fst_endpoint *endpoint)
+update_endpoint (struct fst_fleet *fleet, const struct rst_endpoint *entry,
+                 struct fst_endpoint *endpoint)
 {
   const struct flt_config *config = fleet->view->config;
   endpoint->service = config == NULL
                           ? FLT_NO_INDEX
-                          : flt_find_service (config, seen->service);
-  endpoint->zone = zone_index (fleet, seen->data_centre);
-  endpoint->slots = seen->slots;
-  endpoint->layers = seen->layers;
+                          : flt_find_service (config, entry->service);
+  endpoint->zone = zone_index (fleet, entry->data_centre);
+  endpoint->slots = entry->slots;
+  endpoint->layers = entry->layers;
   endpoint->step_factor = 1;
   if (endpoint->service == FLT_NO_INDEX
       || !config->services[endpoint->service].has_engine)
@@ -209,49 +215,50 @@
     }
   const struct flt_engine *engine
       = &config->services[endpoint->service].engine;
-  const struct flt_kind *kind = flt_find_kind (engine, seen->kind);
+  const struct flt_kind *kind = flt_find_kind (engine, entry->kind);
   if (kind != NULL && engine->layers > 0)
     {
       endpoint->step_factor = kind->step_factor;
       endpoint->cache_tokens = stp_cache_tokens (
-          engine, kind->memory_mb, seen->layers.end - seen->layers.first);
+          engine, kind->memory_mb, entry->layers.end - entry->layers.first);
     }
 }
 
-/* Takes one endpoint of the view.  A new incarnation starts without a
-   history.  */
+/* Adds or updates the endpoint of ENTRY.  A new incarnation or address starts
+   without evidence from before.  */
 static void
-take_endpoint (struct fst_fleet *fleet, const struct rst_endpoint *seen)
+apply_endpoint (struct fst_fleet *fleet, const struct rst_endpoint *entry)
 {
   struct fst_endpoint *endpoint
-      = g_hash_table_lookup (fleet->endpoints, seen->id);
+      = g_hash_table_lookup (fleet->endpoints, entry->id);
   if (endpoint != NULL
-      && (endpoint->born_ms != seen->born_ms
-          || strcmp (endpoint->address, seen->address) != 0))
+      && (endpoint->born_ms != entry->born_ms
+          || strcmp (endpoint->address, entry->address) != 0))
     {
       endpoint->listed = false;
       vdt_clear (fleet->verdicts, endpoint->id);
-      g_hash_table_remove (fleet->endpoints, seen->id);
+      g_hash_table_remove (fleet->endpoints, entry->id);
       endpoint = NULL;
     }
   if (endpoint == NULL)
     {
       endpoint = g_new0 (struct fst_endpoint, 1);
       endpoint->references = 1;
-      endpoint->id = g_strdup (seen->id);
-      endpoint->address = g_strdup (seen->address);
-      endpoint->born_ms = seen->born_ms;
+      endpoint->id = g_strdup (entry->id);
+      endpoint->address = g_strdup (entry->address);
+      endpoint->born_ms = entry->born_ms;
       g_hash_table_insert (fleet->endpoints, endpoint->id, endpoint);
     }
-  describe (fleet, seen, endpoint);
-  endpoint->listed = !seen->leaving;
-  endpoint->seen = true;
-  g_ptr_array_add (fleet->order, endpoint);
+  update_endpoint (fleet, entry, endpoint);
+  endpoint->listed = !entry->leaving;
+  endpoint->in_view = true;
+  g_ptr_array_add (fleet->ordered, endpoint);
 }
 
-/* Forgets the endpoints that the view doesn't name.  */
+/* Removes the endpoints that the view doesn't list, and the verdicts on
+   them.  */
 static void
-forget_unseen (struct fst_fleet *fleet)
+remove_unlisted (struct fst_fleet *fleet)
 {
   GHashTableIter iter;
   gpointer value;
@@ -259,7 +266,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct fst_endpoint *endpoint = value;
-      if (!endpoint->seen)
+      if (!endpoint->in_view)
         {
           endpoint->listed = false;
           vdt_clear (fleet->verdicts, endpoint->id);
@@ -268,7 +275,7 @@
     }
 }
 
-/* Returns the state of the service INDEX.  */
+/* Returns the state of the service INDEX, created if it is new.  */
 static struct service_state *
 service_state (struct fst_fleet *fleet, uint32_t index)
 {
@@ -284,9 +291,10 @@
   return service;
 }
 
-/* Lets the paths of SERVICE be sought anew.  */
+/* Discards the paths of SERVICE, so that they are computed again when next
+   needed.  */
 static void
-drop_paths (struct service_state *service)
+invalidate_paths (struct service_state *service)
 {
   if (service->paths != NULL)
     {
@@ -295,29 +303,29 @@
     }
 }
 
-/* Takes VIEW, owned from now on, in place of the one in force.  */
+/* Replaces the view in force by VIEW, whose reference is taken over.  */
 void
-fst_take (struct fst_fleet *fleet, struct fvw_view *view)
+fst_set_view (struct fst_fleet *fleet, struct fvw_view *view)
 {
   fvw_release (fleet->view);
   fleet->view = view;
-  for (guint i = 0; i < fleet->order->len; i++)
+  for (guint i = 0; i < fleet->ordered->len; i++)
     {
-      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->order, i);
-      endpoint->seen = false;
+      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->ordered, i);
+      endpoint->in_view = false;
     }
-  g_ptr_array_set_size (fleet->order, 0);
+  g_ptr_array_set_size (fleet->ordered, 0);
   for (guint i = 0; i < view->endpoints->len; i++)
     {
-      take_endpoint (fleet, g_ptr_array_index (view->endpoints, i));
+      apply_endpoint (fleet, g_ptr_array_index (view->endpoints, i));
     }
-  forget_unseen (fleet);
+  remove_unlisted (fleet);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, fleet->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      drop_paths (value);
+      invalidate_paths (value);
     }
 }
 
@@ -329,14 +337,14 @@
 }
 
 /* Returns the configuration in force, or NULL.  It is valid until the next
-   fst_take.  */
+   fst_set_view.  */
 const struct flt_config *
 fst_config (const struct fst_fleet *fleet)
 {
   return fleet->view == NULL ? NULL : fleet->view->config;
 }
 
-/* Returns the budget of repeats toward SERVICE.  */
+/* Returns the retry budget of the service with the index SERVICE.  */
 struct rbg_budget *
 fst_budget (struct fst_fleet *fleet, uint32_t service)
 {
@@ -356,22 +364,24 @@
   return false;
 }
 
-/* Returns what a request costs at ENDPOINT, a plain service: its share of
-   failures, the work before it, and the way.  */
+/* Returns the relative cost of a request at ENDPOINT, of a plain service: it
+   rises with the load, the share of failures and the latency, and in another
+   data centre than HOME.  */
 static double
 endpoint_cost (const struct fst_fleet *fleet, uint32_t home,
                const struct fst_endpoint *endpoint)
 {
-  double share = MAX (fleet->view->share, LEAST_SHARE);
+  double share = MAX (fleet->view->share, SHARE_MIN);
   double slots = MAX (endpoint->slots, 1) * share;
   double load = (endpoint->evidence.in_flight + 1) / MAX (slots, 1);
-  double away = endpoint->zone == home ? 0 : 0.15;
-  return (load + away) * (1 + 8 * endpoint->evidence.failure_rate)
+  double remote = endpoint->zone == home ? 0 : 0.15;
+  return (load + remote) * (1 + 8 * endpoint->evidence.failure_rate)
          * (1 + endpoint->evidence.latency_us / CLK_S_US);
 }
 
-/* Returns the cheapest endpoint of SERVICE, a plain one, that isn't among
-   TRIED, or NULL.  One that rests is used only as a LAST_RESORT.  */
+/* Returns the endpoint of the plain service SERVICE with the lowest cost that
+   isn't among TRIED, or NULL.  One that is in back-off is used as a
+   LAST_RESORT only.  */
 static struct fst_endpoint *
 cheapest_endpoint (struct fst_fleet *fleet, uint32_t service,
                    const GPtrArray *tried, bool last_resort, int64_t now_us)
@@ -379,9 +389,9 @@
   uint32_t home = zone_index (fleet, fleet->data_centre);
   struct fst_endpoint *best = NULL;
   double best_cost = INFINITY;
-  for (guint i = 0; i < fleet->order->len; i++)
+  for (guint i = 0; i < fleet->ordered->len; i++)
     {
-      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->order, i);
+      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->ordered, i);
       if (endpoint->service != service || !endpoint->listed
           || is_tried (tried, endpoint)
           || !(last_resort || evd_usable (&endpoint->evidence, now_us)))
@@ -399,7 +409,7 @@
   return best;
 }
 
-/* Chooses an endpoint of SERVICE, a plain one, that isn't among TRIED.
+/* Chooses an endpoint of the plain service SERVICE that isn't among TRIED.
    Returns a reference, or NULL when there is none.  */
 struct fst_endpoint *
 fst_choose_endpoint (struct fst_fleet *fleet, uint32_t service,
@@ -414,16 +424,17 @@
   return best == NULL ? NULL : fst_reference (best);
 }
 
-/* Returns the cost of one layer of one token on PART, an engine.  */
+/* Returns the time, in milliseconds, that PART takes for one layer of one
+   token, raised if it failed lately.  */
 static double
 layer_cost (const struct flt_engine *engine, const struct fst_endpoint *part)
 {
-  bool doubtful = part->evidence.strikes > 0;
+  bool failed_lately = part->evidence.strikes > 0;
   return engine->step_ms * part->step_factor / engine->layers
-         * (doubtful ? DOUBT_FACTOR : 1);
+         * (failed_lately ? UNPROVEN_FACTOR : 1);
 }
 
-/* Returns the cost of one token on PATH with its engines' own figures.  */
+/* Returns the time, in milliseconds, that one token takes on PATH.  */
 static double
 token_cost (const struct flt_engine *engine, const struct fst_path *path)
 {
@@ -442,7 +453,7 @@
   return cost_ms;
 }
 
-/* Returns the number of times that PATH goes to another data centre.  */
+/* Returns the number of hops of PATH from one data centre to another.  */
 static uint32_t
 count_crossings (const struct fst_path *path)
 {
@@ -454,7 +465,7 @@
   return crossings;
 }
 
-/* Makes a path of what was FOUND over ENGINES.  */
+/* Creates a path from FOUND, a result of the search over ENGINES.  */
 static struct fst_path *
 make_path (const struct flt_engine *engine, const struct pth_path *found,
            const GPtrArray *engines)
@@ -482,7 +493,7 @@
 }
 
 static bool
-knows_path (const GPtrArray *paths, const char *text)
+contains_path (const GPtrArray *paths, const char *text)
 {
   for (guint i = 0; i < paths->len; i++)
     {
@@ -495,8 +506,9 @@
   return false;
 }
 
-/* Adds the best path over ENGINES to PATHS, and makes the engines on it dearer
-   for the next search.  Returns false when there is no path.  */
+/* Adds the path over ENGINES with the lowest cost to PATHS, unless it is there
+   already, and raises the cost of its engines for the next search.  Returns
+   false when there is no path.  */
 static bool
 add_path (GPtrArray *paths, const struct flt_engine *engine,
           const GPtrArray *engines, struct pth_card *cards)
@@ -512,7 +524,7 @@
       return false;
     }
   struct fst_path *path = make_path (engine, &found, engines);
-  if (knows_path (paths, path->text))
+  if (contains_path (paths, path->text))
     {
       fst_release_path (path);
     }
@@ -522,34 +534,33 @@
     }
   for (uint32_t i = 0; i < found.count; i++)
     {
-      cards[found.parts[i].card].layer_ms *= USED_FACTOR;
+      cards[found.parts[i].card].layer_ms *= REUSE_FACTOR;
     }
   return true;
 }
 
-/* Leaves only those of PATHS that go between data centres least often: a
-   prompt takes a good part of the links between them, which all paths
-   share.  */
+/* Keeps only those of PATHS with the fewest hops between data centres: a
+   prompt uses much of the capacity of these links, which all paths share.  */
 static void
-drop_crossing_paths (GPtrArray *paths)
+remove_crossing_paths (GPtrArray *paths)
 {
-  uint32_t least = UINT32_MAX;
+  uint32_t min_crossings = UINT32_MAX;
   for (guint i = 0; i < paths->len; i++)
     {
       const struct fst_path *path = g_ptr_array_index (paths, i);
-      least = MIN (least, path->crossings);
+      min_crossings = MIN (min_crossings, path->crossings);
     }
   for (guint i = paths->len; i-- > 0;)
     {
       const struct fst_path *path = g_ptr_array_index (paths, i);
-      if (path->crossings > least)
+      if (path->crossings > min_crossings)
         {
           g_ptr_array_remove_index (paths, i);
         }
     }
 }
 
-/* Returns the position of ENGINE in ENGINES.  */
+/* Returns the index of ENGINE in ENGINES.  */
 static uint32_t
 find_engine (const GPtrArray *engines, const struct fst_endpoint *engine)
 {
@@ -558,8 +569,10 @@
   return index;
 }
 
-/* Describes what PATH needs: memory of each of its parts, and slots of the
-   first.  ENGINES have their memories first, then their slots.  */
+/* Returns the resources that PATH uses: the memory of each of its parts, and
+   the slots of the first.  Resources are numbered as in divide_capacity: the
+   memory of each of ENGINES, then the slots of each.  The caller frees the
+   list.  */
 static struct rom_path
 describe_needs (const struct fst_path *path, const GPtrArray *engines)
 {
@@ -576,10 +589,11 @@
   };
 }
 
-/* Divides the room for requests of ENGINES among PATHS.  */
+/* Divides the memory and slots of ENGINES, in tokens, among PATHS that share
+   them.  */
 static void
-set_rooms (const struct flt_engine *engine, const GPtrArray *paths,
-           const GPtrArray *engines)
+divide_capacity (const struct flt_engine *engine, const GPtrArray *paths,
+                 const GPtrArray *engines)
 {
   double usual_tokens
       = MAX (engine->usual_prompt_tokens + engine->usual_answer_tokens, 1);
@@ -599,18 +613,18 @@
   for (guint i = 0; i < paths->len; i++)
     {
       struct fst_path *path = g_ptr_array_index (paths, i);
-      path->room_tokens = MAX (needs[i].room, 1);
+      path->capacity_tokens = MAX (needs[i].room, 1);
       g_free (needs[i].resources);
     }
   g_free (needs);
   g_free (capacities);
 }
 
-/* Describes ENDPOINT, an engine, for the search of paths.  One that rests is
-   used only by a LAST_RESORT.  */
+/* Describes the engine ENDPOINT to the path search.  One that is in back-off
+   is used as a LAST_RESORT only.  */
 static struct pth_card
-describe_card (const struct flt_engine *engine, struct fst_endpoint *endpoint,
-               bool last_resort, int64_t now_us)
+make_card (const struct flt_engine *engine, struct fst_endpoint *endpoint,
+           bool last_resort, int64_t now_us)
 {
   bool usable = evd_usable (&endpoint->evidence, now_us)
                 || endpoint->evidence.state == EVD_PROVING;
@@ -622,8 +636,8 @@
   };
 }
 
-/* Adds the paths of the service INDEX to PATHS, over engines that differ as
-   far as that can be.  */
+/* Adds paths of the service INDEX to PATHS, which use different engines as far
+   as possible.  */
 static void
 add_paths (struct fst_fleet *fleet, uint32_t index, GPtrArray *paths,
            bool last_resort, int64_t now_us)
@@ -632,36 +646,36 @@
       = &fleet->view->config->services[index].engine;
   GPtrArray *engines = g_ptr_array_new ();
   GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct pth_card));
-  for (guint i = 0; i < fleet->order->len; i++)
+  for (guint i = 0; i < fleet->ordered->len; i++)
     {
-      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->order, i);
+      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->ordered, i);
       if (endpoint->service == index && endpoint->listed)
         {
           struct pth_card card
-              = describe_card (engine, endpoint, last_resort, now_us);
+              = make_card (engine, endpoint, last_resort, now_us);
           g_array_append_val (cards, card);
           g_ptr_array_add (engines, endpoint);
         }
     }
-  uint32_t turns = PATHS_PER_ZONE * fleet->zones->len;
-  while (turns > 0
+  uint32_t searches = PATHS_PER_ZONE * fleet->zones->len;
+  while (searches > 0
          && add_path (paths, engine, engines, (struct pth_card *)cards->data))
     {
-      turns--;
+      searches--;
     }
-  drop_crossing_paths (paths);
-  set_rooms (engine, paths, engines);
+  remove_crossing_paths (paths);
+  divide_capacity (engine, paths, engines);
   g_ptr_array_free (engines, TRUE);
   g_array_free (cards, TRUE);
 }
 
-/* Seeks the paths of the service INDEX.  Engines that rest are better than
-   none.  */
+/* Computes the paths of the service INDEX.  Engines in back-off are used only
+   if there is no path without them.  */
 static void
-seek_paths (struct fst_fleet *fleet, uint32_t index,
+find_paths (struct fst_fleet *fleet, uint32_t index,
             struct service_state *service, int64_t now_us)
 {
-  drop_paths (service);
+  invalidate_paths (service);
   service->paths
       = g_ptr_array_new_with_free_func ((GDestroyNotify)fst_release_path);
   service->paths_until_us = now_us + PATHS_VALID_US;
@@ -672,16 +686,16 @@
     }
 }
 
-/* Returns the share of this daemon's part of PATH's room that is used once
-   TOKENS more pass through it: of the memory of the fullest engine, or of the
-   slots of the first.  */
+/* Returns how full PATH would be with a request of TOKENS more, as a share of
+   the part of its capacity that is this daemon's: the greater of the fill of
+   its fullest engine's memory and that of the first engine's slots.  */
 static double
 path_fill (const struct fst_fleet *fleet, const struct fst_path *path,
            double tokens)
 {
-  double share = MAX (fleet->view->share, LEAST_SHARE);
+  double share = MAX (fleet->view->share, SHARE_MIN);
   const struct fst_endpoint *first = path->parts[0];
-  double fill = (first->begun + 1) / MAX (first->slots * share, 1);
+  double fill = (first->first_requests + 1) / MAX (first->slots * share, 1);
   for (uint32_t i = 0; i < path->count; i++)
     {
       const struct fst_endpoint *part = path->parts[i];
@@ -691,10 +705,10 @@
   return fill;
 }
 
-/* Returns the tokens of this daemon's own requests on PATH's fullest part,
-   beside those of the request to be placed.  The random part of that request
-   lets daemons that have none or few under way choose paths as often as they
-   have room.  */
+/* Returns this daemon's load on PATH: the tokens on its fullest engine, and a
+   random part for the request to be placed, which needs TOKENS.  The random
+   part makes daemons with few or no requests in progress choose paths in
+   proportion to their capacities, rather than all the same one.  */
 static double
 path_load (const struct fst_path *path, double tokens)
 {
@@ -703,12 +717,13 @@
     {
       used = MAX (used, path->parts[i]->used_tokens);
     }
-  return used - tokens * log (g_random_double_range (RANDOM_LEAST, 1));
+  return used - tokens * log (g_random_double_range (RANDOM_MIN, 1));
 }
 
 /* Chooses a path of SERVICE for a request that needs memory for TOKENS: the
-   one with the most room, and the faster rather than the slower.  Returns a
-   reference, or NULL when there is none.  */
+   one with the least load for its capacity and speed, with a preference for
+   the daemon's own data centre.  Returns a reference, or NULL when there is
+   none.  */
 struct fst_path *
 fst_choose_path (struct fst_fleet *fleet, uint32_t service, double tokens,
                  int64_t now_us)
@@ -716,7 +731,7 @@
   struct service_state *state = service_state (fleet, service);
   if (state->paths == NULL || now_us >= state->paths_until_us)
     {
-      seek_paths (fleet, service, state, now_us);
+      find_paths (fleet, service, state, now_us);
     }
   uint32_t home = zone_index (fleet, fleet->data_centre);
   struct fst_path *best = NULL;
@@ -725,10 +740,10 @@
     {
       struct fst_path *path = g_ptr_array_index (state->paths, i);
       double fill = path_fill (fleet, path, tokens);
-      double overfull = MAX (fill - FULL_SHARE, 0);
+      double overload = MAX (fill - FULL_FILL, 0);
       double weight = (path->parts[0]->zone == home ? HOME_WEIGHT : 1)
-                      * path->room_tokens / path->token_ms;
-      double cost = path_load (path, tokens) * (1 + OVERFULL_FACTOR * overfull)
+                      * path->capacity_tokens / path->token_ms;
+      double cost = path_load (path, tokens) * (1 + OVERLOAD_FACTOR * overload)
                     / weight;
       if (cost < best_cost)
         {
@@ -739,14 +754,15 @@
   return best == NULL ? NULL : fst_reference_path (best);
 }
 
-/* Returns the listed endpoint of SERVICE at ADDRESS, or NULL.  */
+/* Returns the endpoint of SERVICE at ADDRESS in the view in force, or
+   NULL.  */
 struct fst_endpoint *
 fst_find_address (struct fst_fleet *fleet, uint32_t service,
                   const char *address)
 {
-  for (guint i = 0; i < fleet->order->len; i++)
+  for (guint i = 0; i < fleet->ordered->len; i++)
     {
-      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->order, i);
+      struct fst_endpoint *endpoint = g_ptr_array_index (fleet->ordered, i);
       if (endpoint->service == service
           && strcmp (endpoint->address, address) == 0)
         {
@@ -756,12 +772,12 @@
   return NULL;
 }
 
-/* Tells the control thread when ENDPOINT, which WAS_DEAD or not before, has
-   been found dead or alive.  One that the list has dropped is its business no
-   more.  */
+/* Records in the verdicts, for the control thread, that ENDPOINT has been
+   found dead or alive again.  WAS_DEAD is its state before.  An endpoint that
+   isn't listed any more is left out.  */
 static void
-tell_verdict (struct fst_fleet *fleet, const struct fst_endpoint *endpoint,
-              bool was_dead)
+publish_verdict (struct fst_fleet *fleet, const struct fst_endpoint *endpoint,
+                 bool was_dead)
 {
   if (endpoint->evidence.dead == was_dead || !endpoint->listed)
     {
@@ -779,25 +795,26 @@
     }
 }
 
-/* Takes a success of ENDPOINT, which took LATENCY_US.  */
+/* Records a success of ENDPOINT, which took LATENCY_US.  */
 void
 fst_report_success (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
                     int64_t latency_us)
 {
   bool was_dead = endpoint->evidence.dead;
   evd_success (&endpoint->evidence, latency_us);
-  tell_verdict (fleet, endpoint, was_dead);
+  publish_verdict (fleet, endpoint, was_dead);
 }
 
-/* Takes a failure of ENDPOINT; REASON goes into the log.  */
+/* Records a failure of ENDPOINT and what it proves; REASON goes into the log.
+   Paths are computed again if the endpoint goes into back-off.  */
 void
 fst_report_failure (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
                     enum evd_proof proof, const char *reason, int64_t now_us)
 {
   bool was_dead = endpoint->evidence.dead;
-  bool rests = evd_failure (&endpoint->evidence, proof, now_us);
-  tell_verdict (fleet, endpoint, was_dead);
-  if (!rests)
+  bool in_back_off = evd_failure (&endpoint->evidence, proof, now_us);
+  publish_verdict (fleet, endpoint, was_dead);
+  if (!in_back_off)
     {
       return;
     }
@@ -808,12 +825,12 @@
   if (fst_config (fleet) != NULL && endpoint->service != FLT_NO_INDEX
       && endpoint->service < fst_config (fleet)->service_count)
     {
-      drop_paths (service_state (fleet, endpoint->service));
+      invalidate_paths (service_state (fleet, endpoint->service));
     }
 }
 
-/* True when the configuration is known and an endpoint is listed, so that
-   requests have a chance.  */
+/* True when the configuration is known and an endpoint of one of its services
+   is listed.  */
 bool
 fst_can_serve (const struct fst_fleet *fleet)
 {
@@ -822,10 +839,10 @@
     {
       return false;
     }
-  for (guint i = 0; i < fleet->order->len; i++)
+  for (guint i = 0; i < fleet->ordered->len; i++)
     {
       const struct fst_endpoint *endpoint
-          = g_ptr_array_index (fleet->order, i);
+          = g_ptr_array_index (fleet->ordered, i);
       if (endpoint->listed && endpoint->service != FLT_NO_INDEX)
         {
           return true;
--- a/src/entry/fleet_state.h
+++ b/src/entry/fleet_state.h
@@ -1,6 +1,6 @@
-/* What the traffic thread knows of the fleet: the view in force, and for each
-   endpoint what this daemon's own requests prove.  Chooses where a request
-   goes. */
+/* The traffic thread's state of the fleet: the view in force, and for each
+   endpoint what this daemon's own requests have shown.  Chooses endpoints and
+   paths for requests. */
 #ifndef ENTRY_FLEET_STATE_H
 #define ENTRY_FLEET_STATE_H
 
@@ -10,37 +10,41 @@
 #include "entry/fleet_view.h"
 #include "entry/verdicts.h"
 
-/* An endpoint; lives while the list names it or a request uses it. */
+/* An endpoint.  Exists while the endpoint list names it or a request uses
+   it. */
 struct fst_endpoint
 {
   guint references;
   char *id;
   char *address;
-  int64_t born_ms;
+  int64_t born_ms;  /* start of its incarnation */
   uint32_t service; /* index in the configuration, or FLT_NO_INDEX */
   uint32_t zone;    /* index of its data centre */
   uint32_t slots;
-  double step_factor;
-  double cache_tokens; /* memory of requests, in tokens; 0: unknown */
-  double used_tokens;  /* of this daemon's requests that pass through it */
-  uint32_t begun;      /* of these, those whose paths begin at it */
+  double step_factor;  /* relative time of a step of its kind of accelerator */
+  double cache_tokens; /* memory for requests, in tokens; 0: unknown */
+  double used_tokens;  /* memory, in tokens, that this daemon's requests use in
+                          it */
+  uint32_t first_requests; /* those whose paths begin at it */
   struct rst_layers layers;
-  bool listed; /* in the list and not leaving */
-  bool seen;   /* in the view that is being taken */
+  bool listed;  /* in the list and not leaving */
+  bool in_view; /* in the view that fst_set_view is applying */
   struct evd_evidence evidence;
 };
 
-/* A way through the engines; lives while the choice or a request uses it. */
+/* A path through the engines of a service.  Exists while the list of paths or
+   a request uses it. */
 struct fst_path
 {
   guint references;
-  struct fst_endpoint **parts; /* in order; references */
-  struct rst_layers *layers;   /* that each part runs */
+  struct fst_endpoint **parts; /* in the order of layers; references */
+  struct rst_layers *layers;   /* layers that each part runs */
   uint32_t count;
-  char *text; /* ADDRESS=FIRST-END, comma-separated */
-  double token_ms;
-  uint32_t crossings; /* times that it goes to another data centre */
-  double room_tokens; /* its share of the room of its parts */
+  char *text;             /* ADDRESS=FIRST-END, comma-separated */
+  double token_ms;        /* estimated time for each token */
+  uint32_t crossings;     /* hops from one data centre to another */
+  double capacity_tokens; /* its share of the memory and slots of its parts, in
+                             tokens */
 };
 
 struct fst_fleet;
@@ -49,7 +53,7 @@
                               const struct rbg_params *budget,
                               struct vdt_verdicts *verdicts);
 void fst_destroy (struct fst_fleet *fleet);
-void fst_take (struct fst_fleet *fleet, struct fvw_view *view);
+void fst_set_view (struct fst_fleet *fleet, struct fvw_view *view);
 const struct fvw_view *fst_view (const struct fst_fleet *fleet);
 const struct flt_config *fst_config (const struct fst_fleet *fleet);
 struct rbg_budget *fst_budget (struct fst_fleet *fleet, uint32_t service);
@@ -73,7 +77,7 @@
 void fst_release (struct fst_endpoint *endpoint);
 struct fst_path *fst_reference_path (struct fst_path *path);
 void fst_release_path (struct fst_path *path);
-void fst_begin_path (struct fst_path *path, double tokens);
-void fst_end_path (struct fst_path *path, double tokens);
+void fst_begin_request (struct fst_path *path, double tokens);
+void fst_end_request (struct fst_path *path, double tokens);
 
 #endif
--- a/src/entry/fleet_view.c
+++ b/src/entry/fleet_view.c
@@ -4,8 +4,9 @@
 
 struct fvw_store
 {
-  struct fvw_view *current;  /* by rcu_dereference; NULL before the first */
-  _Atomic int64_t proved_us; /* the configuration was the newest then */
+  struct fvw_view
+      *current; /* read with rcu_dereference; NULL before the first */
+  _Atomic int64_t proved_us; /* newest proof; 0: none yet */
 };
 
 /* Creates a store without a view.  */
@@ -15,8 +16,8 @@
   return g_new0 (struct fvw_store, 1);
 }
 
-/* Creates a view of CONFIG, of which it takes a reference, and ENDPOINTS,
-   which it owns from now on.  */
+/* Creates a view with one reference.  It adds a reference to CONFIG, which may
+   be NULL, and takes ownership of ENDPOINTS.  */
 struct fvw_view *
 fvw_view_create (struct flt_config *config, GPtrArray *endpoints, double share)
 {
@@ -28,7 +29,7 @@
   return view;
 }
 
-/* Returns VIEW with one more reference.  Thread-safe.  */
+/* Adds a reference to VIEW and returns it.  Thread-safe.  */
 struct fvw_view *
 fvw_reference (struct fvw_view *view)
 {
@@ -36,7 +37,8 @@
   return view;
 }
 
-/* Gives a reference to VIEW back; the last one frees it.  */
+/* Releases a reference to VIEW, which may be NULL; the last one frees it.
+   Thread-safe.  */
 void
 fvw_release (struct fvw_view *view)
 {
@@ -54,7 +56,7 @@
   fvw_release (caa_container_of (head, struct fvw_view, head));
 }
 
-/* Frees STORE and its reference to the view; no thread may read it any
+/* Frees STORE and its reference to the view; no thread may use the store any
    more.  */
 void
 fvw_store_destroy (struct fvw_store *store)
@@ -64,8 +66,8 @@
   g_free (store);
 }
 
-/* Puts VIEW in place of the one in force.  Called by the control thread
-   only.  */
+/* Replaces the view in force by VIEW, whose reference is taken over.  May be
+   called by the control thread only.  */
 void
 fvw_publish (struct fvw_store *store, struct fvw_view *view)
 {
@@ -76,16 +78,17 @@
     }
 }
 
-/* Returns a reference to the view in force, or NULL if that is KNOWN, to which
-   the caller has one, or before the first.  PROVED_US is when the
-   configuration of the returned view, or of KNOWN, was the newest.  The
-   calling thread must be registered with liburcu.  */
+/* Returns a reference to the view in force.  Returns NULL if that is KNOWN, to
+   which the caller has a reference, or if there is none yet.  Sets PROVED_US
+   to a moment at which the configuration of the returned view, or of KNOWN,
+   was the newest.  The calling thread must be registered with liburcu.  */
 struct fvw_view *
 fvw_acquire_newer (struct fvw_store *store, const struct fvw_view *known,
                    int64_t *proved_us)
 {
-  /* A proof is set after its view, so it is read before: read after, it could
-     be that of a view which the caller doesn't have yet. */
+  /* A proof is set after its view is published, so it must be read before the
+     view: read afterwards, it could belong to a view that the caller doesn't
+     have yet. */
   *proved_us = atomic_load (&store->proved_us);
   rcu_read_lock ();
   struct fvw_view *view = rcu_dereference (store->current);
@@ -101,8 +104,8 @@
   return view;
 }
 
-/* Notes that the configuration of the view in force was the newest at
-   PROVED_US. Called by the control thread only, after fvw_publish.  */
+/* Records that the configuration of the view in force was the newest at
+   PROVED_US.  May be called by the control thread only, after fvw_publish.  */
 void
 fvw_set_proved (struct fvw_store *store, int64_t proved_us)
 {
@@ -112,8 +115,8 @@
     }
 }
 
-/* Returns the moment of fvw_set_proved, or 0, for logs and metrics: a view
-   that was acquired before may be older.  */
+/* Returns the newest moment that was set with fvw_set_proved, or 0.  For logs
+   and metrics only: a view that was acquired earlier may be older.  */
 int64_t
 fvw_proved_us (struct fvw_store *store)
 {
--- a/src/entry/fleet_view.h
+++ b/src/entry/fleet_view.h
@@ -1,5 +1,7 @@
-/* What the control thread knows of the fleet, published to the traffic thread
-   with liburcu.  A view is immutable and shared by reference count. */
+/* Views of the fleet: the configuration and the list of endpoints, published
+   by the control thread to the traffic thread with liburcu.  A view is
+   immutable and reference-counted.  A proof is a moment at which the
+   configuration of a view was known to be the newest. */
 #ifndef ENTRY_FLEET_VIEW_H
 #define ENTRY_FLEET_VIEW_H
 
@@ -11,9 +13,10 @@
 struct fvw_view
 {
   gint references;
-  struct flt_config *config; /* NULL: none is known */
+  struct flt_config *config; /* reference; NULL: none is known yet */
   GPtrArray *endpoints;      /* struct rst_endpoint, sorted by id; owned */
-  double share;              /* of what all daemons divide, 0 to 1 */
+  double
+      share; /* this daemon's share of shared capacity and budgets, 0 to 1 */
   struct rcu_head head;
 };
 
--- a/src/entry/traffic.c
+++ b/src/entry/traffic.c
@@ -7,20 +7,22 @@
 
 #include <string.h>
 
+/* Interval at which time-outs are checked. */
 #define SWEEP_MS 200
 
-/* A sweep that comes later than this after the one before follows a pause of
-   the process; time-outs then wait one more sweep for what has arrived. */
-#define PAUSED_US (1 * CLK_S_US)
+/* A sweep that comes later than this after the previous one follows a pause of
+   the process.  Time-outs then wait for one more sweep, so that what has
+   arrived meanwhile is read first. */
+#define PROCESS_PAUSE_US (1 * CLK_S_US)
 
-/* Connections to endpoints. */
+/* Limits of the connections to endpoints. */
 #define CONNECT_TIMEOUT_US (400 * CLK_MS_US)
 #define IDLE_MAX_US (10 * CLK_S_US)
 #define IDLE_MARGIN_US (1 * CLK_S_US)
 #define SILENCE_MS 1500
 #define IDLE_CONNECTIONS_MAX 96
 
-/* Callers, until the configuration tells. */
+/* Limits of callers until the first configuration states them. */
 #define HEADER_BYTES_MAX 16384
 #define BODY_BYTES_MAX 4194304
 #define HEADER_TIMEOUT_US (3 * CLK_S_US)
@@ -28,16 +30,17 @@
 #define UNSENT_BYTES_MAX 131072
 #define CALLER_SILENCE_MS 5000
 
-/* Descriptors that aren't for callers: files, and connections to
-   endpoints. */
-#define DESCRIPTORS_SHARE 2
+/* File descriptors for each connection of a caller: its own, and one for files
+   or connections to endpoints. */
+#define DESCRIPTORS_PER_CALLER 2
 
-/* After a stop began, callers that are idle are let go after this time; the
-   balancer has then seen two refusals. */
-#define IDLE_AFTER_STOP_US (2500 * CLK_MS_US)
+/* Idle connections of callers are closed this long after a stop began: the
+   load balancer has then seen two failed probes, one a second. */
+#define STOP_IDLE_US (2500 * CLK_MS_US)
 
-/* A configuration's idle time-out is kept to with this much to spare. */
-#define IDLE_SPARE_US (500 * CLK_MS_US)
+/* Added to the configuration's idle time-out, so that no connection is closed
+   early. */
+#define CALLER_IDLE_MARGIN_US (500 * CLK_MS_US)
 
 static bool
 is_ready (const struct trf_traffic *traffic)
@@ -71,18 +74,18 @@
 }
 
 static void
-ignore_gone (void *context)
+ignore_event (void *context)
 {
   (void)context;
 }
 
 static const struct nsv_events probe_events = {
   .request = on_probe_request,
-  .gone = ignore_gone,
-  .drained = ignore_gone,
+  .gone = ignore_event,
+  .drained = ignore_event,
 };
 
-/* Sets the gauges that are read only when somebody looks.  */
+/* Updates the gauges that are read only when the metrics are requested.  */
 static void
 update_gauges (struct trf_traffic *traffic)
 {
@@ -98,28 +101,29 @@
 }
 
 static void
-on_observer_request (void *context, struct nsv_connection *connection,
-                     const struct msg_message *request, const char *method)
+on_metrics_request (void *context, struct nsv_connection *connection,
+                    const struct msg_message *request, const char *method)
 {
   (void)request;
   (void)method;
   struct trf_traffic *traffic = context;
   update_gauges (traffic);
   GString *text = g_string_new (NULL);
-  cnt_render (traffic->counters, text);
+  cnt_render (traffic->series, text);
   nsv_answer (connection, HTTP_STATUS_OK,
               "Content-Type: text/plain; version=0.0.4\r\n", text->str,
               text->len);
   g_string_free (text, TRUE);
 }
 
-static const struct nsv_events observer_events = {
-  .request = on_observer_request,
-  .gone = ignore_gone,
-  .drained = ignore_gone,
+static const struct nsv_events metrics_events = {
+  .request = on_metrics_request,
+  .gone = ignore_event,
+  .drained = ignore_event,
 };
 
-/* Returns the limits on callers that CONFIG, or NULL, sets.  */
+/* Returns the limits of callers in CONFIG, or the default ones when it is
+   NULL.  */
 static struct nsv_limits
 caller_limits (const struct trf_traffic *traffic,
                const struct flt_config *config)
@@ -131,20 +135,21 @@
     .idle_timeout_us = IDLE_TIMEOUT_US,
     .unsent_bytes_max = UNSENT_BYTES_MAX,
     .silence_ms = CALLER_SILENCE_MS,
-    .connections_max = traffic->settings->descriptors / DESCRIPTORS_SHARE,
+    .connections_max = traffic->settings->descriptors / DESCRIPTORS_PER_CALLER,
   };
   if (config != NULL)
     {
       limits.header_bytes_max = config->limits.header_bytes_max;
       limits.body_bytes_max = config->limits.body_bytes_max;
       limits.header_timeout_us = config->limits.header_timeout_us;
-      limits.idle_timeout_us = config->limits.idle_timeout_us + IDLE_SPARE_US;
+      limits.idle_timeout_us
+          = config->limits.idle_timeout_us + CALLER_IDLE_MARGIN_US;
     }
   return limits;
 }
 
-/* Takes the view that the control thread published last.  Returns when its
-   configuration was the newest.  */
+/* Applies the newest view that the control thread has published.  Returns the
+   time at which its configuration was known to be the newest; 0 if never.  */
 int64_t
 trf_refresh (struct trf_traffic *traffic)
 {
@@ -153,79 +158,83 @@
       traffic->views, fst_view (traffic->fleet), &proved_us);
   if (view != NULL)
     {
-      fst_take (traffic->fleet, view);
+      fst_set_view (traffic->fleet, view);
       struct nsv_limits limits = caller_limits (traffic, view->config);
-      nsv_set_limits (traffic->callers, &limits);
+      nsv_set_limits (traffic->caller_server, &limits);
       cnt_put (traffic->metrics->endpoints, view->endpoints->len);
     }
   return proved_us;
 }
 
 static void
-on_view (uv_async_t *async)
+on_view_changed (uv_async_t *async)
 {
   trf_refresh (async->data);
 }
 
-/* Logs when this daemon becomes ready or stops being so.  */
+/* Logs a change of the daemon's readiness.  */
 static void
 log_readiness (struct trf_traffic *traffic)
 {
   bool ready = is_ready (traffic);
-  if (ready != traffic->was_ready)
+  if (ready != traffic->ready_logged)
     {
-      traffic->was_ready = ready;
+      traffic->ready_logged = ready;
       lg_line (LOG_NOTICE, ready ? "ready" : "not_ready", "stopping=%d",
                traffic->stopping_us != 0);
     }
 }
 
+/* Closes connections whose time-outs have expired, and flushes the log.  */
 static void
 on_sweep (uv_timer_t *timer)
 {
   struct trf_traffic *traffic = timer->data;
   int64_t now_us = clk_monotonic_us ();
-  bool paused = now_us - traffic->swept_us > PAUSED_US;
-  traffic->swept_us = now_us;
+  bool paused = now_us - traffic->last_sweep_us > PROCESS_PAUSE_US;
+  traffic->last_sweep_us = now_us;
   if (paused)
     {
       return;
     }
   ncl_expire (traffic->client, now_us);
-  nsv_expire (traffic->callers, now_us);
-  nsv_expire (traffic->probes, now_us);
-  nsv_expire (traffic->observers, now_us);
+  nsv_expire (traffic->caller_server, now_us);
+  nsv_expire (traffic->probe_server, now_us);
+  nsv_expire (traffic->metrics_server, now_us);
   inq_forget (traffic, now_us);
   log_readiness (traffic);
   lg_flush ();
 }
 
-/* Opens the three servers.  */
+/* Opens the servers for probes, metrics and callers.  Returns false with
+   ERR_SETTINGS when an address can't be used.  */
 static bool
 open_servers (struct trf_traffic *traffic, GError **error)
 {
   const struct ens_settings *settings = traffic->settings;
   struct nsv_limits limits = caller_limits (traffic, NULL);
-  traffic->probes = nsv_create (traffic->loop, settings->ready_address,
-                                &limits, &probe_events, traffic, error);
-  if (traffic->probes == NULL)
+  traffic->probe_server = nsv_create (traffic->loop, settings->ready_address,
+                                      &limits, &probe_events, traffic, error);
+  if (traffic->probe_server == NULL)
     {
       return false;
     }
-  traffic->observers = nsv_create (traffic->loop, settings->metrics_address,
-                                   &limits, &observer_events, traffic, error);
-  if (traffic->observers == NULL)
+  traffic->metrics_server
+      = nsv_create (traffic->loop, settings->metrics_address, &limits,
+                    &metrics_events, traffic, error);
+  if (traffic->metrics_server == NULL)
     {
       return false;
     }
-  traffic->callers = nsv_create (traffic->loop, settings->caller_address,
-                                 &limits, &caller_events, traffic, error);
-  return traffic->callers != NULL;
+  traffic->caller_server
+      = nsv_create (traffic->loop, settings->caller_address, &limits,
+                    &caller_events, traffic, error);
+  return traffic->caller_server != NULL;
 }
 
-/* Opens the servers of a daemon on LOOP, which the calling thread then runs.
-   SETTINGS, VIEWS and VERDICTS must outlive the result.  Returns NULL with
-   ERR_SETTINGS when an address can't be used.  */
+/* Opens the servers of an entry daemon on LOOP, which the calling thread runs
+   afterwards.  SETTINGS, VIEWS and VERDICTS must outlive the result.  Returns
+   NULL with ERR_SETTINGS when an address can't be used.  */
 struct trf_traffic *
 trf_create (uv_loop_t *loop, const struct ens_settings *settings,
             struct fvw_store *views, struct vdt_verdicts *verdicts,
@@ -254,70 +263,73 @@
   };
   traffic->exchanges = g_hash_table_new (NULL, NULL);
   traffic->inquiries = inq_table_create ();
-  traffic->counters = cnt_set_create ();
-  traffic->metrics = emt_create (traffic->counters);
+  traffic->series = cnt_set_create ();
+  traffic->metrics = emt_create (traffic->series);
   traffic->fleet = fst_create (settings->data_centre, &budget, verdicts);
   traffic->client = ncl_create (loop, &client_params);
   if (!open_servers (traffic, error))
     {
       return NULL; /* the process ends */
     }
-  uv_async_init (loop, &traffic->view_published, on_view);
-  traffic->view_published.data = traffic;
+  uv_async_init (loop, &traffic->view_changed, on_view_changed);
+  traffic->view_changed.data = traffic;
   uv_timer_init (loop, &traffic->sweep);
   traffic->sweep.data = traffic;
-  traffic->swept_us = clk_monotonic_us ();
+  traffic->last_sweep_us = clk_monotonic_us ();
   uv_timer_start (&traffic->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
   return traffic;
 }
 
-/* Tells TRAFFIC, a struct trf_traffic, from any thread that a view was
-   published.  */
+/* Notifies CONTEXT, a struct trf_traffic, that a view was published.
+   Thread-safe.  */
 void
 trf_notify (void *context)
 {
   struct trf_traffic *traffic = context;
-  uv_async_send (&traffic->view_published);
+  uv_async_send (&traffic->view_changed);
 }
 
-/* Begins the stop: unready at once, callers are let go one after the other. */
+/* Begins the stop: the daemon isn't ready any more, and connections of callers
+   close after their current request or when they have been idle. */
 void
 trf_stop (struct trf_traffic *traffic)
 {
   traffic->stopping_us = clk_monotonic_us ();
-  nsv_stop_keeping (traffic->callers,
-                    traffic->stopping_us + IDLE_AFTER_STOP_US);
+  nsv_stop_keeping (traffic->caller_server,
+                    traffic->stopping_us + STOP_IDLE_US);
   log_readiness (traffic);
 }
 
-/* True when no request is under way.  */
+/* True when no request is in progress.  */
 bool
 trf_is_idle (const struct trf_traffic *traffic)
 {
-  return nsv_busy (traffic->callers) == 0;
+  return nsv_busy (traffic->caller_server) == 0;
 }
 
-/* Logs what is still under way.  */
+/* Logs the number of requests in progress and of open connections.  */
 void
 trf_log_in_progress (const struct trf_traffic *traffic)
 {
   lg_line (LOG_NOTICE, "stopping", "under_way=%u connections=%u",
-           nsv_busy (traffic->callers), nsv_open (traffic->callers));
+           nsv_busy (traffic->caller_server),
+           nsv_open (traffic->caller_server));
 }
 
-/* Closes everything; the loop must run once more.  */
+/* Closes the servers and connections of TRAFFIC and frees what it refers to;
+   the loop must run once more afterwards.  */
 void
 trf_destroy (struct trf_traffic *traffic)
 {
-  nsv_destroy (traffic->callers);
-  nsv_destroy (traffic->probes);
-  nsv_destroy (traffic->observers);
+  nsv_destroy (traffic->caller_server);
+  nsv_destroy (traffic->probe_server);
+  nsv_destroy (traffic->metrics_server);
   g_hash_table_destroy (traffic->inquiries);
   ncl_destroy (traffic->client);
-  uv_close ((uv_handle_t *)&traffic->view_published, NULL);
+  uv_close ((uv_handle_t *)&traffic->view_changed, NULL);
   uv_close ((uv_handle_t *)&traffic->sweep, NULL);
   g_hash_table_destroy (traffic->exchanges);
   fst_destroy (traffic->fleet);
   emt_destroy (traffic->metrics);
-  cnt_set_destroy (traffic->counters);
+  cnt_set_destroy (traffic->series);
 }
--- a/src/entry/traffic.h
+++ b/src/entry/traffic.h
@@ -1,5 +1,6 @@
-/* The traffic thread of an entry daemon: takes requests, sends them to
-   endpoints and delivers the answers. */
+/* The traffic thread of an entry daemon: accepts callers' requests, forwards
+   them to endpoints and delivers the answers.  It also serves the load
+   balancer's probes and the metrics. */
 #ifndef ENTRY_TRAFFIC_H
 #define ENTRY_TRAFFIC_H
 
@@ -10,31 +11,32 @@
 #include "net/client.h"
 #include "net/server.h"
 
+/* State of the traffic thread.  Other threads may call trf_notify only. */
 struct trf_traffic
 {
   uv_loop_t *loop;
   const struct ens_settings *settings;
   struct fvw_store *views;
   struct fst_fleet *fleet;
-  struct ncl_client *client; /* to endpoints */
-  struct nsv_server *callers;
-  struct nsv_server *probes;    /* of the balancer */
-  struct nsv_server *observers; /* of the metrics */
-  struct cnt_set *counters;
+  struct ncl_client *client; /* connections to endpoints */
+  struct nsv_server *caller_server;
+  struct nsv_server *probe_server; /* readiness probes of the load balancer */
+  struct nsv_server *metrics_server;
+  struct cnt_set *series; /* all metrics */
   struct emt_metrics *metrics;
   struct frs_params freshness;
-  uv_async_t view_published;
-  uv_timer_t sweep;
-  int64_t swept_us;
-  int64_t stopping_us; /* since then; 0: not stopping */
-  bool was_ready;
-  double token_us; /* longest that streams lately took for each token they may
-                      write at most; 0: none yet */
-  double
-      first_event_us; /* moving average of the time to streams' first events */
-  double call_us;     /* longest that calls of plain services lately took */
-  GHashTable *exchanges; /* set of those under way */
-  GHashTable *inquiries; /* by engine: questions about stalls */
+  uv_async_t view_changed; /* sent by trf_notify */
+  uv_timer_t sweep;        /* for time-outs and the log */
+  int64_t last_sweep_us;
+  int64_t stopping_us; /* when the stop began; 0: not stopping */
+  bool ready_logged;
+  double token_us; /* recent peak of a stream's time for each token that it may
+                      generate; 0: none has ended yet */
+  double first_event_us; /* moving average of the time from an attempt's start
+                            to the first event; 0: none yet */
+  double call_us; /* recent peak of the time of requests to plain services */
+  GHashTable *exchanges; /* set of struct exchange in progress */
+  GHashTable *inquiries; /* engine to its stall inquiry */
 };
 
 struct trf_traffic *trf_create (uv_loop_t *loop,
--- a/src/entry/verdicts.c
+++ b/src/entry/verdicts.c
@@ -5,11 +5,11 @@
 struct vdt_verdicts
 {
   GMutex mutex;
-  GHashTable *dead; /* endpoint id to the time of its incarnation's start */
+  GHashTable *dead; /* endpoint id to the start time, in milliseconds, of the
+                       incarnation that was found dead */
 };
 
-/* Creates verdicts that name no endpoint.  They may be used from any
-   thread.  */
+/* Creates an empty set of verdicts, which any thread may use.  */
 struct vdt_verdicts *
 vdt_create (void)
 {
@@ -29,7 +29,7 @@
   g_free (verdicts);
 }
 
-/* Takes the endpoint ID for dead, in its incarnation that started at
+/* Records that the endpoint ID is dead, in its incarnation that started at
    BORN_MS.  */
 void
 vdt_set_dead (struct vdt_verdicts *verdicts, const char *id, int64_t born_ms)
@@ -41,7 +41,7 @@
   g_mutex_unlock (&verdicts->mutex);
 }
 
-/* Forgets what was found out about the endpoint ID.  */
+/* Removes the verdict on the endpoint ID, if there is one.  */
 void
 vdt_clear (struct vdt_verdicts *verdicts, const char *id)
 {
@@ -50,8 +50,8 @@
   g_mutex_unlock (&verdicts->mutex);
 }
 
-/* True when the incarnation of the endpoint ID that started at BORN_MS was
-   found dead.  */
+/* True when the endpoint ID was found dead in its incarnation that started at
+   BORN_MS.  */
 bool
 vdt_is_dead (struct vdt_verdicts *verdicts, const char *id, int64_t born_ms)
 {
--- a/src/entry/verdicts.h
+++ b/src/entry/verdicts.h
@@ -1,5 +1,5 @@
-/* Which endpoints the traffic thread has found dead, for the control thread,
-   which replaces them before the list drops them. */
+/* Endpoints that the traffic thread has found dead.  The control thread
+   replaces these before the endpoint list drops them.  Thread-safe. */
 #ifndef ENTRY_VERDICTS_H
 #define ENTRY_VERDICTS_H
 
