--- a/src/entry/exchange_watch.c
+++ b/src/entry/exchange_watch.c
@@ -154,7 +154,7 @@
           abandon_attempt (exchange);
           return;
         }
-      inq_ask (exchange->traffic, exchange->endpoint, now_us);
+      inq_request_report (exchange->traffic, exchange->endpoint, now_us);
     }
   exg_schedule_check (exchange);
 }
--- a/src/entry/fleet_control.c
+++ b/src/entry/fleet_control.c
@@ -59,7 +59,7 @@
   bool is_relay;     /* other daemons ask this one */
   GPtrArray *relays; /* addresses of other daemons' relays, NULL-terminated */
   struct grp_group *group;
-  struct plc_placing *placing;
+  struct plc_placer *placer;
   struct flt_config *config;
   struct rst *roster;
   struct fvw_view *view; /* the last one published */
@@ -255,7 +255,7 @@
   struct fct_control *control = stop->data;
   tpc_destroy (control->operator_topic);
   tpc_destroy (control->endpoint_topic);
-  plc_destroy (control->placing);
+  plc_destroy (control->placer);
   grp_destroy (control->group);
   rly_destroy (control->relay);
   ncl_destroy (control->client);
@@ -277,7 +277,7 @@
 static void
 choose_readers (struct fct_control *control)
 {
-  bool crowded = grp_is_crowded (control->group);
+  bool crowded = grp_exceeds_partitions (control->group);
   bool asks = crowded && !control->is_relay;
   bool relays = crowded && control->is_relay;
   tpc_ask_relays (control->operator_topic, asks);
@@ -296,7 +296,7 @@
   control->changed |= rst_tick (control->roster, now_us);
   publish (control);
   choose_readers (control);
-  plc_step (control->placing, control->view->config, control->view->endpoints,
+  plc_step (control->placer, control->view->config, control->view->endpoints,
             now_us);
 }
 
@@ -371,8 +371,8 @@
 }
 
 /* Starts the control thread, which publishes into VIEWS and tells NOTIFY with
-   CONTEXT of each view.  It replaces engines that VERDICTS call dead. SETTINGS
-   must outlive it.  */
+   CONTEXT of each view.  It replaces engines that VERDICTS call dead.
+   SETTINGS must outlive it.  */
 struct fct_control *
 fct_create (const struct ens_settings *settings, struct fvw_store *views,
             struct vdt_verdicts *verdicts, fct_notify notify, void *context,
@@ -408,13 +408,13 @@
     }
   find_relays (control);
   join_group (control);
-  const struct plc_params placing_params = {
+  const struct plc_params placer_params = {
     .client = control->client,
     .loop = &control->loop,
     .group = control->group,
     .verdicts = verdicts,
   };
-  control->placing = plc_create (&placing_params);
+  control->placer = plc_create (&placer_params);
   follow_topics (control);
   int status = pthread_create (&control->thread, NULL, run, control);
   if (status != 0)
--- a/src/entry/group.c
+++ b/src/entry/group.c
@@ -5,17 +5,21 @@
 #include "net/call.h"
 #include "platform/store.h"
 
+/* Group of all entry daemons, and the topic whose partitions it divides. */
 #define GROUP "entry"
 #define TOPIC "entry-shares"
 
-/* A member that is silent so long is out of the group. */
-#define LIFETIME_MS 2500
-#define RENEW_MS 700
-#define RETRY_MS 200
-#define ANSWER_MS 600
+/* The time without renewals after which the store removes a member, the
+   interval of renewals, the interval of retries after a failed one, and the
+   time-out of a call. */
+#define MEMBERSHIP_MS 2500
+#define RENEW_INTERVAL_MS 700
+#define RETRY_INTERVAL_MS 200
+#define CALL_TIMEOUT_MS 600
 
-/* The lead ends so long before the group would give it to another. */
-#define LEAD_MARGIN_US (300 * CLK_MS_US)
+/* The daemon stops leading this long before the store may remove it from the
+   group, so that two daemons never lead at once. */
+#define MEMBERSHIP_MARGIN_US (300 * CLK_MS_US)
 
 struct grp_group
 {
@@ -25,26 +29,29 @@
   uv_timer_t timer;
   struct cal_call *call;
   struct pfs_membership membership;
-  int64_t sent_us;
-  int64_t held_until_us; /* the membership is sure until then */
-  uint64_t refused;      /* generation whose orders were refused */
-  bool lead_logged;
+  int64_t renew_sent_us;
+  int64_t member_until_us;     /* the membership is certain until then */
+  uint64_t refused_generation; /* newest whose orders were refused */
+  bool was_leader;             /* as logged last */
 };
 
+/* Handles the answer to a renewal, logs a change of the leader's role and
+   schedules the next renewal.  */
 static void
-on_answer (void *context, uint32_t status, const uint8_t *body,
-           size_t body_bytes, const char *why)
+on_renewed (void *context, uint32_t status, const uint8_t *body,
+            size_t body_bytes, const char *why)
 {
   struct grp_group *group = context;
   group->call = NULL;
   g_autoptr (GError) error = NULL;
-  bool good = status == HTTP_STATUS_OK
-              && pfs_decode_join (body, body_bytes, group->params.partitions,
-                                  &group->membership, &error);
-  if (good)
+  bool renewed
+      = status == HTTP_STATUS_OK
+        && pfs_decode_join (body, body_bytes, group->params.partitions,
+                            &group->membership, &error);
+  if (renewed)
     {
-      group->held_until_us
-          = group->sent_us + LIFETIME_MS * CLK_MS_US - LEAD_MARGIN_US;
+      group->member_until_us = group->renew_sent_us + MEMBERSHIP_MS * CLK_MS_US
+                               - MEMBERSHIP_MARGIN_US;
     }
   else
     {
@@ -52,23 +59,25 @@
                error != NULL ? error->message : why);
     }
   uint64_t fence = 0;
-  bool leads = grp_leads (group, &fence);
-  if (leads != group->lead_logged)
+  bool leader = grp_is_leader (group, &fence);
+  if (leader != group->was_leader)
     {
-      group->lead_logged = leads;
-      lg_line (LOG_NOTICE, leads ? "lead_gained" : "lead_lost",
+      group->was_leader = leader;
+      lg_line (LOG_NOTICE, leader ? "lead_gained" : "lead_lost",
                "generation=%lu", (unsigned long)group->membership.generation);
     }
-  uint32_t jitter_ms = g_random_int_range (0, RETRY_MS);
-  uv_timer_start (&group->timer, group->timer.timer_cb,
-                  (good ? RENEW_MS : RETRY_MS) + jitter_ms, 0);
+  uint32_t jitter_ms = g_random_int_range (0, RETRY_INTERVAL_MS);
+  uv_timer_start (
+      &group->timer, group->timer.timer_cb,
+      (renewed ? RENEW_INTERVAL_MS : RETRY_INTERVAL_MS) + jitter_ms, 0);
 }
 
+/* Sends the call that joins the group or renews the membership.  */
 static void
 on_renew (uv_timer_t *timer)
 {
   struct grp_group *group = timer->data;
-  char *body = pfs_join_body (GROUP, group->member, TOPIC, LIFETIME_MS,
+  char *body = pfs_join_body (GROUP, group->member, TOPIC, MEMBERSHIP_MS,
                               group->membership.generation);
   const struct cal_params params = {
     .client = group->params.client,
@@ -77,16 +86,17 @@
     .method = "POST",
     .path = PFS_JOIN_PATH,
     .body = body,
-    .timeout_ms = ANSWER_MS,
-    .done = on_answer,
+    .timeout_ms = CALL_TIMEOUT_MS,
+    .done = on_renewed,
     .context = group,
   };
-  group->sent_us = clk_monotonic_us ();
+  group->renew_sent_us = clk_monotonic_us ();
   group->call = cal_send (&params);
   g_free (body);
 }
 
-/* Joins the group of all daemons and stays in it.  */
+/* Joins the group of all entry daemons and keeps renewing the membership until
+   grp_leave or grp_destroy.  */
 struct grp_group *
 grp_create (const struct grp_params *params)
 {
@@ -111,7 +121,8 @@
   lg_line (LOG_NOTICE, "group_left", "status=%u why=\"%s\"", status, why);
 }
 
-/* Leaves the group, so that another member leads and shares at once.  */
+/* Leaves the group, so that its shares and its leadership pass to other
+   members at once instead of after MEMBERSHIP_MS.  */
 void
 grp_leave (struct grp_group *group)
 {
@@ -129,7 +140,7 @@
     .method = "POST",
     .path = PFS_LEAVE_PATH,
     .body = body,
-    .timeout_ms = ANSWER_MS,
+    .timeout_ms = CALL_TIMEOUT_MS,
     .done = on_left,
     .context = group,
   };
@@ -146,7 +157,8 @@
   g_free (group);
 }
 
-/* Frees GROUP.  */
+/* Stops the renewals and frees GROUP; the loop must run once more afterwards.
+   The membership isn't ended.  */
 void
 grp_destroy (struct grp_group *group)
 {
@@ -157,36 +169,37 @@
   uv_close ((uv_handle_t *)&group->timer, on_timer_closed);
 }
 
-/* Returns true while this daemon leads; FENCE is then the number that its
-   orders bear.  */
+/* Returns true while this daemon is the leader.  Sets FENCE to the fencing
+   token of its orders.  */
 bool
-grp_leads (const struct grp_group *group, uint64_t *fence)
+grp_is_leader (const struct grp_group *group, uint64_t *fence)
 {
   *fence = group->membership.generation;
   return group->membership.leads
-         && group->membership.generation > group->refused
-         && clk_monotonic_us () < group->held_until_us;
+         && group->membership.generation > group->refused_generation
+         && clk_monotonic_us () < group->member_until_us;
 }
 
-/* Gives orders no more with the present fence, which an endpoint refused.  */
+/* Stops leading until the next generation, since an endpoint refused the
+   fencing token of the present one.  */
 void
 grp_step_down (struct grp_group *group)
 {
-  group->refused = group->membership.generation;
+  group->refused_generation = group->membership.generation;
   group->membership.leads = false;
 }
 
-/* Returns this daemon's share of what all daemons divide, 0 to 1.  */
+/* Returns this daemon's share of shared capacity and budgets, 0 to 1.  */
 double
 grp_share (const struct grp_group *group)
 {
   return group->membership.share;
 }
 
-/* True when there are more daemons than partitions to divide, as far as this
-   daemon's own part shows: it has one at most.  */
+/* True when there may be more daemons than partitions to divide: this daemon
+   has one partition at most.  */
 bool
-grp_is_crowded (const struct grp_group *group)
+grp_exceeds_partitions (const struct grp_group *group)
 {
   return group->membership.generation > 0
          && group->membership.share * group->params.partitions <= 1;
--- a/src/entry/inquiry.c
+++ b/src/entry/inquiry.c
@@ -6,24 +6,25 @@
 #include "net/call.h"
 #include "platform/runner.h"
 
-/* Between two questions to one engine: the first pause, since its report lags,
-   and the longest, which follows answers that name no stall.  A pause that has
-   been over for some time begins anew. */
-#define ASK_AGAIN_US (90 * CLK_MS_US)
-#define ASK_LATEST_US (800 * CLK_MS_US)
-#define ASK_ANEW_US (2 * CLK_S_US)
+/* Interval between two requests to one engine.  It begins at the minimum,
+   since an engine's report lags behind, and doubles with each answer that
+   names no stall, up to the maximum.  It begins at the minimum again after the
+   expiry time without requests. */
+#define INTERVAL_MIN_US (90 * CLK_MS_US)
+#define INTERVAL_MAX_US (800 * CLK_MS_US)
+#define EXPIRY_US (2 * CLK_S_US)
 
-/* How long an answer may take. */
-#define ASK_MS 400
+/* Time-out of a request. */
+#define REPORT_TIMEOUT_MS 400
 
-/* Questions to one engine. */
+/* The requests for the report of one engine. */
 struct inquiry
 {
   struct trf_traffic *traffic;
   struct fst_endpoint *engine; /* reference */
-  struct cal_call *call;       /* NULL: none is under way */
-  int64_t asked_us;
-  int64_t pause_us; /* before the next question */
+  struct cal_call *call;       /* NULL: none in progress */
+  int64_t sent_us;             /* newest request */
+  int64_t interval_us;         /* before the next request */
 };
 
 static void
@@ -38,32 +39,36 @@
   g_free (inquiry);
 }
 
-/* Creates the table of the inquiries of a traffic thread.  */
+/* Creates the table of the inquiries of a traffic thread, engine to struct
+   inquiry.  Destroying it cancels calls in progress.  */
 GHashTable *
 inq_table_create (void)
 {
   return g_hash_table_new_full (NULL, NULL, NULL, destroy_inquiry);
 }
 
-/* Takes the stalls that ENGINE told of.  */
+/* Records a failure of each engine that STALLS, from the report of ENGINE, say
+   doesn't answer it.  */
 static void
-take_stalls (struct trf_traffic *traffic, const struct fst_endpoint *engine,
-             const GPtrArray *stalls)
+report_stalls (struct trf_traffic *traffic, const struct fst_endpoint *engine,
+               const GPtrArray *stalls)
 {
   for (guint i = 0; i < stalls->len; i++)
     {
       const struct pfr_stall *stall = g_ptr_array_index (stalls, i);
-      struct fst_endpoint *culprit
+      struct fst_endpoint *stalled
           = fst_find_address (traffic->fleet, engine->service, stall->address);
-      if (culprit != NULL)
+      if (stalled != NULL)
         {
-          fst_report_failure (traffic->fleet, culprit, EVD_DEATH,
-                              "an engine waits for it in vain",
+          fst_report_failure (traffic->fleet, stalled, EVD_DEATH,
+                              "does not answer another engine",
                               clk_monotonic_us ());
         }
     }
 }
 
+/* Handles a report, and checks again the streams that begin at its engine.  An
+   engine that sends no answer at all counts as dead.  */
 static void
 on_report (void *context, uint32_t status, const uint8_t *body,
            size_t body_bytes, const char *why)
@@ -84,23 +89,24 @@
   inquiry->call = NULL;
   if (stalls != NULL && stalls->len > 0)
     {
-      inquiry->pause_us = ASK_AGAIN_US;
+      inquiry->interval_us = INTERVAL_MIN_US;
     }
   if (stalls != NULL)
     {
-      take_stalls (traffic, inquiry->engine, stalls);
+      report_stalls (traffic, inquiry->engine, stalls);
       g_ptr_array_free (stalls, TRUE);
     }
   else if (status == 0)
     {
       fst_report_failure (traffic->fleet, inquiry->engine, EVD_DEATH,
-                          "it didn't answer a question", clk_monotonic_us ());
+                          "did not answer a report request",
+                          clk_monotonic_us ());
     }
   exg_check_streams (traffic, inquiry->engine);
 }
 
 static void
-send_question (struct inquiry *inquiry, int64_t now_us)
+send_request (struct inquiry *inquiry, int64_t now_us)
 {
   const struct cal_params params = {
     .client = inquiry->traffic->client,
@@ -108,15 +114,15 @@
     .address = inquiry->engine->address,
     .method = "GET",
     .path = PFR_REPORT_PATH,
-    .timeout_ms = ASK_MS,
+    .timeout_ms = REPORT_TIMEOUT_MS,
     .done = on_report,
     .context = inquiry,
   };
-  inquiry->asked_us = now_us;
+  inquiry->sent_us = now_us;
   inquiry->call = cal_send (&params);
 }
 
-/* Returns the inquiry into ENGINE.  */
+/* Returns the inquiry of ENGINE, created if it is new.  */
 static struct inquiry *
 find_inquiry (struct trf_traffic *traffic, struct fst_endpoint *engine)
 {
@@ -131,25 +137,29 @@
   return inquiry;
 }
 
-/* Asks ENGINE what its streams wait for, unless it was asked just now.  */
+/* Requests a report from ENGINE on what its streams wait for, unless one is in
+   progress or the interval since the newest isn't over.  */
 void
-inq_ask (struct trf_traffic *traffic, struct fst_endpoint *engine,
-         int64_t now_us)
+inq_request_report (struct trf_traffic *traffic, struct fst_endpoint *engine,
+                    int64_t now_us)
 {
   struct inquiry *inquiry = find_inquiry (traffic, engine);
-  if (inquiry->call != NULL || now_us - inquiry->asked_us < inquiry->pause_us)
+  if (inquiry->call != NULL
+      || now_us - inquiry->sent_us < inquiry->interval_us)
     {
       return;
     }
-  bool anew = now_us - inquiry->asked_us > ASK_ANEW_US;
-  inquiry->pause_us
-      = anew ? ASK_AGAIN_US : MIN (inquiry->pause_us * 2, ASK_LATEST_US);
-  send_question (inquiry, now_us);
+  bool expired = now_us - inquiry->sent_us > EXPIRY_US;
+  inquiry->interval_us = expired
+                             ? INTERVAL_MIN_US
+                             : MIN (inquiry->interval_us * 2, INTERVAL_MAX_US);
+  send_request (inquiry, now_us);
 }
 
-/* Forgets the inquiries that ended some time ago.  */
+/* Removes the inquiries whose newest request is over and longer ago than the
+   expiry time.  */
 void
-inq_forget (struct trf_traffic *traffic, int64_t now_us)
+inq_remove_expired (struct trf_traffic *traffic, int64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -157,7 +167,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const struct inquiry *inquiry = value;
-      if (inquiry->call == NULL && now_us - inquiry->asked_us > ASK_ANEW_US)
+      if (inquiry->call == NULL && now_us - inquiry->sent_us > EXPIRY_US)
         {
           g_hash_table_iter_remove (&iter);
         }
--- a/src/entry/placing.c
+++ b/src/entry/placing.c
@@ -8,62 +8,69 @@
 
 #include <string.h>
 
-/* While no engine holds layers, at the first start of all, the list is taken
-   for complete once it named no new engine for this long. */
+/* When no engine holds layers, at the first start of the fleet, planning waits
+   until no new engine has been listed for this long. */
 #define SETTLE_US (1500 * CLK_MS_US)
 
-/* An order without an answer is sent again after this time. */
-#define ANSWER_MS 1200
+/* Time-out of an order, after which it is retried. */
+#define ORDER_TIMEOUT_MS 1200
 
-/* A refused order is tried again after this time. */
-#define REFUSED_US (1000 * CLK_MS_US)
+/* A refused order, or one without an answer, is retried after this time. */
+#define REFUSED_RETRY_US (1000 * CLK_MS_US)
 
-/* An order that an engine accepted shows in the list by then: its load, a
-   heartbeat and the list's lag. */
-#define SHOWN_US (20 * CLK_S_US)
+/* An accepted order must show in the endpoint list within this time, which
+   covers the load, a heartbeat and the list's lag; otherwise it is planned
+   again. */
+#define CONFIRM_TIMEOUT_US (20 * CLK_S_US)
 
 /* Engines that this daemon's requests found dead are replaced at once, before
-   the list drops them.  When they are more than this share of all, it is
-   rather the daemon that is cut off. */
+   the list drops them.  If they exceed this share of all engines, it is more
+   likely that this daemon is cut off from the network, and none is taken for
+   dead. */
 #define DEAD_SHARE_MAX 0.25
 
-/* An engine that comes without layers may replace one that is about to leave,
-   and fill its gap: it repeats the layers of others only after this time. */
-#define RESERVE_US (3 * CLK_S_US)
+/* A new engine without layers is kept in reserve for this time, since it may
+   replace one that is about to leave.  Only afterwards does it take layers
+   that other engines hold already. */
+#define RESERVE_TIME_US (3 * CLK_S_US)
 
-/* After an engine was lost, those that come rather replace it, and are kept
-   for nothing, for this time. */
-#define LOSS_US (10 * CLK_S_US)
+/* For this time after the loss of an engine, new engines aren't kept in
+   reserve: they most likely replace the lost one. */
+#define LOSS_TIME_US (10 * CLK_S_US)
 
-/* A lost layer that no spare engine can hold waits so long for an engine that
-   comes or comes back, before engines that others need are moved: these serve
-   nobody until the streams through them have ended. */
-#define GAP_PATIENCE_US (2500 * CLK_MS_US)
+/* A layer without a holder that no spare engine can take waits this long for a
+   new or returning engine.  Only afterwards are engines moved that others
+   need: these serve no requests until the streams through them have ended. */
+#define GAP_WAIT_US (2500 * CLK_MS_US)
 
-/* An order that is under way. */
+/* An order to an engine that isn't finished. */
 struct order
 {
-  struct plc_placing *placing;
-  char *id; /* of the endpoint */
+  struct plc_placer *placer;
+  char *id; /* of the endpoint; key in the table of orders */
   char *address;
-  int64_t born_ms;
+  int64_t born_ms; /* start of the endpoint's incarnation */
   struct rst_layers layers;
-  uint64_t fence;
-  struct cal_call *call;
+  uint64_t fence;        /* fencing token it was sent with */
+  struct cal_call *call; /* NULL: none in progress */
   bool accepted;
-  int64_t next_us; /* when it is sent again, or forgotten if accepted */
+  int64_t next_us; /* when it is retried or, if accepted, dropped */
 };
 
-struct plc_placing
+struct plc_placer
 {
   struct plc_params params;
   GHashTable *orders;   /* endpoint id to struct order */
-  int64_t gap_since_us; /* a layer lacks a holder; 0: none does */
-  int64_t lost_us;      /* when an engine last ended without notice */
-  GHashTable *staying;  /* set of the ids that were listed and not leaving */
-  GHashTable *idle; /* endpoint id to when it was first seen without layers */
-  guint engines_seen;
-  int64_t settled_us;
+  int64_t gap_since_us; /* since when a layer has no holder; 0: every layer has
+                           one */
+  int64_t last_loss_us; /* when an engine last disappeared without having
+                           announced that it leaves */
+  GHashTable *active; /* set of the ids that were listed and not leaving at the
+                         last step */
+  GHashTable *idle_since;  /* endpoint id to when it was first seen without
+                              layers, int64_t */
+  guint last_count;        /* of endpoints in the list at the last step */
+  int64_t settle_until_us; /* no orders before */
 };
 
 static void
@@ -79,32 +86,34 @@
   g_free (order);
 }
 
-/* Creates the placing of one daemon.  */
-struct plc_placing *
+/* Creates the placer of this daemon.  */
+struct plc_placer *
 plc_create (const struct plc_params *params)
 {
-  struct plc_placing *placing = g_new0 (struct plc_placing, 1);
-  placing->params = *params;
-  placing->orders
+  struct plc_placer *placer = g_new0 (struct plc_placer, 1);
+  placer->params = *params;
+  placer->orders
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, destroy_order);
-  placing->staying
+  placer->active
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  placing->lost_us = -LOSS_US;
-  placing->idle
+  placer->last_loss_us = -LOSS_TIME_US;
+  placer->idle_since
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  return placing;
+  return placer;
 }
 
-/* Frees PLACING; orders under way are carried out all the same.  */
+/* Frees PLACER.  Engines still carry out the orders that were sent.  */
 void
-plc_destroy (struct plc_placing *placing)
+plc_destroy (struct plc_placer *placer)
 {
-  g_hash_table_destroy (placing->orders);
-  g_hash_table_destroy (placing->idle);
-  g_hash_table_destroy (placing->staying);
-  g_free (placing);
+  g_hash_table_destroy (placer->orders);
+  g_hash_table_destroy (placer->idle_since);
+  g_hash_table_destroy (placer->active);
+  g_free (placer);
 }
 
+/* Handles the answer to an order.  A refused fencing token means that another
+   daemon leads.  */
 static void
 on_answer (void *context, uint32_t status, const uint8_t *body,
            size_t body_bytes, const char *why)
@@ -119,26 +128,27 @@
            order->id, order->layers.first, order->layers.end,
            (unsigned long)order->fence, status, why);
   order->accepted = status == HTTP_STATUS_OK || status == HTTP_STATUS_ACCEPTED;
-  order->next_us = now_us + (order->accepted ? SHOWN_US : REFUSED_US);
+  order->next_us
+      = now_us + (order->accepted ? CONFIRM_TIMEOUT_US : REFUSED_RETRY_US);
   if (status == HTTP_STATUS_PRECONDITION_FAILED)
     {
-      grp_step_down (order->placing->params.group);
+      grp_step_down (order->placer->params.group);
     }
 }
 
-/* Sends ORDER under FENCE.  */
+/* Sends ORDER with the fencing token FENCE.  */
 static void
 send_order (struct order *order, uint64_t fence)
 {
   char *body = pfr_place_order (order->layers.first, order->layers.end, fence);
   const struct cal_params params = {
-    .client = order->placing->params.client,
-    .loop = order->placing->params.loop,
+    .client = order->placer->params.client,
+    .loop = order->placer->params.loop,
     .address = order->address,
     .method = "POST",
     .path = PFR_ORDER_PATH,
     .body = body,
-    .timeout_ms = ANSWER_MS,
+    .timeout_ms = ORDER_TIMEOUT_MS,
     .done = on_answer,
     .context = order,
   };
@@ -151,52 +161,53 @@
   g_free (body);
 }
 
-/* Returns true when what ENDPOINT says of itself shows that ORDER is done or
-   was for another incarnation.  */
+/* Returns true when ORDER is finished: ENDPOINT reports its layers, the time
+   for that is over, or ENDPOINT is another incarnation.  */
 static bool
-is_over (const struct order *order, const struct rst_endpoint *endpoint,
-         int64_t now_us)
+is_finished (const struct order *order, const struct rst_endpoint *endpoint,
+             int64_t now_us)
 {
   if (order->born_ms != endpoint->born_ms)
     {
       return true;
     }
-  bool shown = endpoint->layers.first == order->layers.first
-               && endpoint->layers.end == order->layers.end;
+  bool reported = endpoint->layers.first == order->layers.first
+                  && endpoint->layers.end == order->layers.end;
   return order->call == NULL
-         && ((shown && !endpoint->busy)
+         && ((reported && !endpoint->busy)
              || (order->accepted && now_us >= order->next_us));
 }
 
-/* Forgets orders that are done and those to endpoints that are gone.  */
+/* Removes finished orders and those to endpoints that are leaving or not
+   listed.  */
 static void
-forget_orders (struct plc_placing *placing, const GPtrArray *endpoints,
-               int64_t now_us)
+remove_finished_orders (struct plc_placer *placer, const GPtrArray *endpoints,
+                        int64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, placing->orders);
+  g_hash_table_iter_init (&iter, placer->orders);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const struct order *order = value;
-      bool over = true;
+      bool finished = true;
       for (guint i = 0; i < endpoints->len; i++)
         {
           const struct rst_endpoint *endpoint
               = g_ptr_array_index (endpoints, i);
           if (strcmp (endpoint->id, order->id) == 0 && !endpoint->leaving)
             {
-              over = is_over (order, endpoint, now_us);
+              finished = is_finished (order, endpoint, now_us);
             }
         }
-      if (over)
+      if (finished)
         {
           g_hash_table_iter_remove (&iter);
         }
     }
 }
 
-/* Returns the index of the data centre NAME in NAMES, added at need.  */
+/* Returns the index of the data centre NAME in NAMES; a new one is added.  */
 static uint32_t
 zone_index (GPtrArray *names, const char *name)
 {
@@ -211,69 +222,72 @@
   return names->len - 1;
 }
 
-/* True while ENDPOINT, which holds nothing, is kept for a gap.  */
+/* True while ENDPOINT, which holds no layers, is kept in reserve.  */
 static bool
-is_in_reserve (struct plc_placing *placing,
-               const struct rst_endpoint *endpoint, int64_t now_us)
+is_in_reserve (struct plc_placer *placer, const struct rst_endpoint *endpoint,
+               int64_t now_us)
 {
   if (endpoint->layers.end > endpoint->layers.first)
     {
-      g_hash_table_remove (placing->idle, endpoint->id);
+      g_hash_table_remove (placer->idle_since, endpoint->id);
       return false;
     }
-  const int64_t *since_us = g_hash_table_lookup (placing->idle, endpoint->id);
-  if (since_us == NULL)
+  const int64_t *idle_since_us
+      = g_hash_table_lookup (placer->idle_since, endpoint->id);
+  if (idle_since_us == NULL)
     {
-      int64_t *first_us = g_new (int64_t, 1);
-      *first_us = now_us;
-      g_hash_table_insert (placing->idle, g_strdup (endpoint->id), first_us);
-      since_us = first_us;
+      int64_t *first_idle_us = g_new (int64_t, 1);
+      *first_idle_us = now_us;
+      g_hash_table_insert (placer->idle_since, g_strdup (endpoint->id),
+                           first_idle_us);
+      idle_since_us = first_idle_us;
     }
-  return now_us - *since_us < RESERVE_US
-         && now_us - placing->lost_us >= LOSS_US;
+  return now_us - *idle_since_us < RESERVE_TIME_US
+         && now_us - placer->last_loss_us >= LOSS_TIME_US;
 }
 
-/* Describes ENDPOINT, an engine, for the planner.  */
+/* Describes the engine ENDPOINT to the planner.  Layers that were ordered
+   count as held.  */
 static struct stp_card
-describe (struct plc_placing *placing, const struct flt_engine *engine,
-          const struct rst_endpoint *endpoint, GPtrArray *zones,
-          int64_t now_us)
+describe_engine (struct plc_placer *placer, const struct flt_engine *engine,
+                 const struct rst_endpoint *endpoint, GPtrArray *zones,
+                 int64_t now_us)
 {
   const struct flt_kind *kind = flt_find_kind (engine, endpoint->kind);
   const struct order *order
-      = g_hash_table_lookup (placing->orders, endpoint->id);
+      = g_hash_table_lookup (placer->orders, endpoint->id);
   return (struct stp_card){
     .zone = zone_index (zones, endpoint->data_centre),
     .memory_mb = kind == NULL ? 0 : kind->memory_mb,
     .step_factor = kind == NULL ? 1 : kind->step_factor,
     .held = order == NULL ? endpoint->layers : order->layers,
     .movable = order == NULL && !endpoint->busy,
-    .in_reserve = is_in_reserve (placing, endpoint, now_us),
+    .in_reserve = is_in_reserve (placer, endpoint, now_us),
   };
 }
 
-/* Makes the order that ENDPOINT holds LAYERS.  */
+/* Orders ENDPOINT to hold LAYERS.  */
 static void
-add_order (struct plc_placing *placing, const struct rst_endpoint *endpoint,
+add_order (struct plc_placer *placer, const struct rst_endpoint *endpoint,
            const struct rst_layers *layers, uint64_t fence)
 {
   struct order *order = g_new0 (struct order, 1);
-  order->placing = placing;
+  order->placer = placer;
   order->id = g_strdup (endpoint->id);
   order->address = g_strdup (endpoint->address);
   order->born_ms = endpoint->born_ms;
   order->layers = *layers;
-  g_hash_table_insert (placing->orders, order->id, order);
+  g_hash_table_insert (placer->orders, order->id, order);
   send_order (order, fence);
 }
 
-/* Sends orders that got no answer or were refused once more.  */
+/* Retries orders that were refused or not answered.  */
 static void
-repeat_orders (struct plc_placing *placing, uint64_t fence, int64_t now_us)
+retry_orders (struct plc_placer *placer, uint64_t fence, int64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, placing->orders);
+  g_hash_table_iter_init (&iter, placer->orders);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct order *order = value;
@@ -291,35 +305,36 @@
   return !g_hash_table_contains (listed, id);
 }
 
-/* Notes when an endpoint is gone from ENDPOINTS that hadn't been leaving, and
-   forgets what was known of it.  */
+/* Records the time when endpoints that hadn't been leaving are missing from
+   ENDPOINTS, and removes what was kept of these.  */
 static void
-note_losses (struct plc_placing *placing, const GPtrArray *endpoints,
-             int64_t now_us)
+detect_losses (struct plc_placer *placer, const GPtrArray *endpoints,
+               int64_t now_us)
 {
-  GHashTable *staying
+  GHashTable *active
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < endpoints->len; i++)
     {
       const struct rst_endpoint *endpoint = g_ptr_array_index (endpoints, i);
       if (!endpoint->leaving)
         {
-          g_hash_table_add (staying, g_strdup (endpoint->id));
+          g_hash_table_add (active, g_strdup (endpoint->id));
         }
-      g_hash_table_remove (placing->staying, endpoint->id);
+      g_hash_table_remove (placer->active, endpoint->id);
     }
-  if (g_hash_table_size (placing->staying) > 0)
+  if (g_hash_table_size (placer->active) > 0)
     {
-      placing->lost_us = now_us;
+      placer->last_loss_us = now_us;
     }
-  g_hash_table_destroy (placing->staying);
-  placing->staying = staying;
-  g_hash_table_foreach_remove (placing->idle, is_unlisted, staying);
+  g_hash_table_destroy (placer->active);
+  placer->active = active;
+  g_hash_table_foreach_remove (placer->idle_since, is_unlisted, active);
 }
 
-/* Returns the engines of SERVICE in ENDPOINTS that can hold layers.  */
+/* Returns the engines of SERVICE in ENDPOINTS that may hold layers: neither
+   leaving nor found dead.  The caller frees the list.  */
 static GPtrArray *
-find_engines (const struct plc_placing *placing,
+find_engines (const struct plc_placer *placer,
               const struct flt_service *service, const GPtrArray *endpoints)
 {
   GPtrArray *listed = g_ptr_array_new ();
@@ -332,58 +347,61 @@
           continue;
         }
       g_ptr_array_add (listed, endpoint);
-      if (!vdt_is_dead (placing->params.verdicts, endpoint->id,
+      if (!vdt_is_dead (placer->params.verdicts, endpoint->id,
                         endpoint->born_ms))
         {
           g_ptr_array_add (alive, endpoint);
         }
     }
   guint dead = listed->len - alive->len;
-  bool cut_off = dead > listed->len * DEAD_SHARE_MAX;
-  g_ptr_array_free (cut_off ? alive : listed, TRUE);
-  return cut_off ? listed : alive;
+  bool isolated = dead > listed->len * DEAD_SHARE_MAX;
+  g_ptr_array_free (isolated ? alive : listed, TRUE);
+  return isolated ? listed : alive;
 }
 
-/* Notes since when a layer lacks a holder.  When all that can be done about
-   it was done, PATIENT being false, a new wait begins.  */
+/* Updates the time since which a layer has no holder; COMPLETE says that every
+   layer has one.  When engines may already be moved for it, MAY_WAIT being
+   false, the wait begins again.  */
 static void
-take_gap (struct plc_placing *placing, bool whole, bool patient,
-          int64_t now_us)
+update_gap (struct plc_placer *placer, bool complete, bool may_wait,
+            int64_t now_us)
 {
-  if (whole)
+  if (complete)
     {
-      placing->gap_since_us = 0;
+      placer->gap_since_us = 0;
     }
-  else if (placing->gap_since_us == 0 || !patient)
+  else if (placer->gap_since_us == 0 || !may_wait)
     {
-      placing->gap_since_us = now_us;
+      placer->gap_since_us = now_us;
     }
 }
 
-/* Plans the engines of SERVICE and orders what differs.  */
+/* Plans the layers of SERVICE's engines and orders what differs from what they
+   hold.  */
 static void
-place_service (struct plc_placing *placing, const struct flt_service *service,
+place_service (struct plc_placer *placer, const struct flt_service *service,
                const GPtrArray *endpoints, uint64_t fence, int64_t now_us)
 {
   GPtrArray *zones = g_ptr_array_new ();
-  GPtrArray *engines = find_engines (placing, service, endpoints);
+  GPtrArray *engines = find_engines (placer, service, endpoints);
   GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct stp_card));
   for (guint i = 0; i < engines->len; i++)
     {
       struct stp_card card
-          = describe (placing, &service->engine,
-                      g_ptr_array_index (engines, i), zones, now_us);
+          = describe_engine (placer, &service->engine,
+                             g_ptr_array_index (engines, i), zones, now_us);
       g_array_append_val (cards, card);
     }
   struct rst_layers *wanted = g_new0 (struct rst_layers, engines->len + 1);
   if (engines->len > 0)
     {
-      bool patient = placing->gap_since_us == 0
-                     || now_us - placing->gap_since_us < GAP_PATIENCE_US;
-      bool whole = stp_plan (
-          &service->engine, patient ? STP_SPARES : STP_DIVIDE_ANEW, zones->len,
-          (const struct stp_card *)cards->data, cards->len, wanted);
-      take_gap (placing, whole, patient, now_us);
+      bool may_wait = placer->gap_since_us == 0
+                      || now_us - placer->gap_since_us < GAP_WAIT_US;
+      bool complete = stp_plan (
+          &service->engine, may_wait ? STP_SPARES : STP_DIVIDE_ANEW,
+          zones->len, (const struct stp_card *)cards->data, cards->len,
+          wanted);
+      update_gap (placer, complete, may_wait, now_us);
     }
   for (guint i = 0; i < engines->len; i++)
     {
@@ -392,7 +410,7 @@
           && (wanted[i].first != card->held.first
               || wanted[i].end != card->held.end))
         {
-          add_order (placing, g_ptr_array_index (engines, i), &wanted[i],
+          add_order (placer, g_ptr_array_index (engines, i), &wanted[i],
                      fence);
         }
     }
@@ -417,37 +435,37 @@
   return false;
 }
 
-/* Plans with CONFIG and ENDPOINTS and orders what differs, if this daemon
-   leads.  Called some times a second.  */
+/* Plans the layers of all services of CONFIG and orders what differs, if this
+   daemon is the leader.  Called several times a second.  */
 void
-plc_step (struct plc_placing *placing, const struct flt_config *config,
+plc_step (struct plc_placer *placer, const struct flt_config *config,
           const GPtrArray *endpoints, int64_t now_us)
 {
-  bool more = endpoints->len > placing->engines_seen;
-  if (more && !any_layers_held (endpoints))
+  bool engines_added = endpoints->len > placer->last_count;
+  if (engines_added && !any_layers_held (endpoints))
     {
-      placing->settled_us = now_us + SETTLE_US;
+      placer->settle_until_us = now_us + SETTLE_US;
     }
-  placing->engines_seen = endpoints->len;
+  placer->last_count = endpoints->len;
   uint64_t fence = 0;
-  if (config == NULL || !grp_leads (placing->params.group, &fence))
+  if (config == NULL || !grp_is_leader (placer->params.group, &fence))
     {
-      g_hash_table_remove_all (placing->orders);
+      g_hash_table_remove_all (placer->orders);
       return;
     }
-  forget_orders (placing, endpoints, now_us);
-  note_losses (placing, endpoints, now_us);
-  if (now_us < placing->settled_us)
+  remove_finished_orders (placer, endpoints, now_us);
+  detect_losses (placer, endpoints, now_us);
+  if (now_us < placer->settle_until_us)
     {
       return;
     }
-  repeat_orders (placing, fence, now_us);
+  retry_orders (placer, fence, now_us);
   for (uint32_t i = 0; i < config->service_count; i++)
     {
       if (config->services[i].has_engine
           && config->services[i].engine.layers > 0)
         {
-          place_service (placing, &config->services[i], endpoints, fence,
+          place_service (placer, &config->services[i], endpoints, fence,
                          now_us);
         }
     }
--- a/src/entry/placing.h
+++ b/src/entry/placing.h
@@ -1,4 +1,6 @@
-/* Carries the placement of layers out, on the daemon that leads. */
+/* Places the layers of models on engines: while this daemon is the leader, it
+   compares the engines' layers with the plan and sends orders for what
+   differs. */
 #ifndef ENTRY_PLACING_H
 #define ENTRY_PLACING_H
 
@@ -6,7 +8,7 @@
 #include "entry/group.h"
 #include "entry/verdicts.h"
 
-struct plc_placing;
+struct plc_placer;
 
 struct plc_params
 {
@@ -16,9 +18,9 @@
   struct vdt_verdicts *verdicts; /* of this daemon's own requests */
 };
 
-struct plc_placing *plc_create (const struct plc_params *params);
-void plc_destroy (struct plc_placing *placing);
-void plc_step (struct plc_placing *placing, const struct flt_config *config,
+struct plc_placer *plc_create (const struct plc_params *params);
+void plc_destroy (struct plc_placer *placer);
+void plc_step (struct plc_placer *placer, const struct flt_config *config,
                const GPtrArray *endpoints, int64_t now_us);
 
 #endif
--- a/src/entry/traffic.c
+++ b/src/entry/traffic.c
@@ -201,7 +201,7 @@
   nsv_expire (traffic->caller_server, now_us);
   nsv_expire (traffic->probe_server, now_us);
   nsv_expire (traffic->metrics_server, now_us);
-  inq_forget (traffic, now_us);
+  inq_remove_expired (traffic, now_us);
   log_readiness (traffic);
   lg_flush ();
 }
