--- a/src/entry/fleet_control.c
+++ b/src/entry/fleet_control.c
@@ -14,27 +14,30 @@
 #include <pthread.h>
 #include <string.h>
 
-#define TICK_MS 250
+/* Interval at which periodic work is done, such as the placement of layers. */
+#define TICK_INTERVAL_MS 250
 
-/* Share of the time in which keys may be served after their removal that a
-   call for the configuration waits for a change.  Its answer proves that the
-   configuration was the newest when it was sent, so a proof gets up to twice
-   as old. */
+/* How long a call for the configuration waits for a change, as a share of the
+   time for which a key may still be served after its removal.  The answer
+   proves that the configuration was the newest when the call was sent, so
+   proofs get up to twice as old as the wait. */
 #define CONFIG_WAIT_SHARE 0.2
 
-/* The same for a daemon whose proofs others rely on, which age on the way. */
+/* The same for a daemon that relays the configuration to others: the proofs
+   get older on the way to these. */
 #define RELAY_WAIT_SHARE 0.12
 
-/* Share of the time in which a leaving endpoint may still get work that passes
-   between two readings of the list; the rest is for the store's answer. */
-#define LIST_PACE_SHARE 0.5
+/* Interval of reading the endpoint list, as a share of the time in which a
+   leaving endpoint may still get work; the rest is for the store's answer. */
+#define LIST_POLL_SHARE 0.5
 
-/* Share of the time in which a change must be in force that the store may take
-   for an answer: when it is back after an outage, the calls that it never
-   answered must end soon enough for another one. */
-#define ANSWER_SHARE 0.6
+/* Limit of the time-out of the store's answers, as a share of the time in
+   which a change must be in force everywhere: after an outage, calls that the
+   store never answered must time out soon enough for another one. */
+#define ANSWER_TIMEOUT_SHARE 0.6
 
-/* Connections to the platform and to endpoints, for orders. */
+/* Limits of the connections to the store, to relays, and to endpoints for
+   orders. */
 #define CONNECT_TIMEOUT_US (800 * CLK_MS_US)
 #define IDLE_MAX_US (8 * CLK_S_US)
 #define IDLE_MARGIN_US (1 * CLK_S_US)
@@ -45,8 +48,8 @@
 {
   pthread_t thread;
   uv_loop_t loop;
-  uv_async_t leave;
-  uv_async_t stop;
+  uv_async_t leave_group; /* sent by fct_leave_group */
+  uv_async_t stop;        /* sent by fct_destroy */
   uv_timer_t tick;
   const struct ens_settings *settings;
   struct fvw_store *views;
@@ -56,26 +59,27 @@
   struct tpc_topic *operator_topic;
   struct tpc_topic *endpoint_topic;
   struct rly_relay *relay;
-  bool is_relay;     /* other daemons ask this one */
+  bool is_relay;     /* other daemons may read from this one */
   GPtrArray *relays; /* addresses of other daemons' relays, NULL-terminated */
   struct grp_group *group;
   struct plc_placer *placer;
-  struct flt_config *config;
-  struct rst *roster;
-  struct fvw_view *view; /* the last one published */
-  bool changed;          /* since then */
+  struct flt_config *config; /* in force; NULL before the first */
+  struct rst *roster;        /* the endpoint list */
+  struct fvw_view *view;     /* the last one published */
+  bool view_outdated;        /* there are changes since then */
 };
 
-/* Publishes a view when anything has changed.  */
+/* Publishes a new view if its configuration, endpoints or share have
+   changed.  */
 static void
 publish (struct fct_control *control)
 {
   double share = grp_share (control->group);
-  if (!control->changed && share == control->view->share)
+  if (!control->view_outdated && share == control->view->share)
     {
       return;
     }
-  control->changed = false;
+  control->view_outdated = false;
   fvw_release (control->view);
   control->view
       = fvw_view_create (control->config, rst_list (control->roster), share);
@@ -83,10 +87,11 @@
   control->notify (control->context);
 }
 
-/* Takes the configuration that RECORD holds, if it is a newer one.  */
+/* Applies the configuration in RECORD if it is valid and newer than the one in
+   force.  */
 static void
-take_configuration (struct fct_control *control,
-                    const struct pfs_record *record)
+apply_configuration (struct fct_control *control,
+                     const struct pfs_record *record)
 {
   g_autoptr (GError) error = NULL;
   struct flt_config *config
@@ -109,7 +114,7 @@
            config->route_count, config->service_count, config->account_count);
   flt_release (control->config);
   control->config = config;
-  control->changed = true;
+  control->view_outdated = true;
 }
 
 static void
@@ -119,16 +124,19 @@
   if (strcmp (record->key, PFS_CONFIGURATION_KEY) == 0
       && record->value != NULL)
     {
-      rly_put (control->relay, PFS_OPERATOR_TOPIC, record);
-      take_configuration (control, record);
+      rly_add_record (control->relay, PFS_OPERATOR_TOPIC, record);
+      apply_configuration (control, record);
     }
 }
 
+/* Handles a proof that the configuration was the newest at PROVED_US.  The
+   view is published first, so that the proof never belongs to a view that
+   isn't published yet.  */
 static void
 on_operator_current (void *context, int64_t proved_us, uint64_t end)
 {
   struct fct_control *control = context;
-  rly_current (control->relay, PFS_OPERATOR_TOPIC, end, proved_us);
+  rly_set_current (control->relay, PFS_OPERATOR_TOPIC, end, proved_us);
   publish (control);
   if (control->config != NULL)
     {
@@ -137,16 +145,16 @@
 }
 
 static void
-ignore (void *context)
+ignore_begin (void *context)
 {
   (void)context;
 }
 
 static void
-on_operator_end (void *context, uint64_t end)
+on_operator_snapshot (void *context, uint64_t end)
 {
   struct fct_control *control = context;
-  rly_restart (control->relay, PFS_OPERATOR_TOPIC, end);
+  rly_set_floor (control->relay, PFS_OPERATOR_TOPIC, end);
 }
 
 static void
@@ -157,13 +165,15 @@
 }
 
 static const struct tpc_events operator_events = {
-  .begin_full = ignore,
-  .end_full = on_operator_end,
+  .snapshot_begin = ignore_begin,
+  .snapshot_end = on_operator_snapshot,
   .record = on_operator_record,
   .current = on_operator_current,
   .outage = ignore_outage,
 };
 
+/* Handles an entry of the endpoint list, or its removal.  An invalid entry
+   counts as a removal.  */
 static void
 on_endpoint_record (void *context, const struct pfs_record *record)
 {
@@ -186,7 +196,7 @@
                                    record->offset, clk_monotonic_us ());
   if (changed || endpoint == NULL)
     {
-      rly_put (control->relay, PFS_ENDPOINT_TOPIC, record);
+      rly_add_record (control->relay, PFS_ENDPOINT_TOPIC, record);
     }
   if (changed)
     {
@@ -196,12 +206,12 @@
                endpoint != NULL && endpoint->leaving,
                endpoint != NULL ? endpoint->layers.first : 0,
                endpoint != NULL ? endpoint->layers.end : 0);
-      control->changed = true;
+      control->view_outdated = true;
     }
 }
 
 static void
-on_endpoint_begin (void *context)
+on_list_begin (void *context)
 {
   struct fct_control *control = context;
   rst_contact (control->roster, clk_monotonic_us ());
@@ -209,25 +219,26 @@
 }
 
 static void
-on_endpoint_end (void *context, uint64_t end)
+on_list_end (void *context, uint64_t end)
 {
   struct fct_control *control = context;
-  rly_restart (control->relay, PFS_ENDPOINT_TOPIC, end);
-  control->changed |= rst_end_full (control->roster, end, clk_monotonic_us ());
+  rly_set_floor (control->relay, PFS_ENDPOINT_TOPIC, end);
+  control->view_outdated
+      |= rst_end_full (control->roster, end, clk_monotonic_us ());
   publish (control);
 }
 
 static void
-on_endpoint_current (void *context, int64_t proved_us, uint64_t end)
+on_list_current (void *context, int64_t proved_us, uint64_t end)
 {
   struct fct_control *control = context;
-  rly_current (control->relay, PFS_ENDPOINT_TOPIC, end, proved_us);
+  rly_set_current (control->relay, PFS_ENDPOINT_TOPIC, end, proved_us);
   rst_contact (control->roster, clk_monotonic_us ());
   publish (control);
 }
 
 static void
-on_endpoint_outage (void *context, const char *why)
+on_list_outage (void *context, const char *why)
 {
   (void)why;
   struct fct_control *control = context;
@@ -235,11 +246,11 @@
 }
 
 static const struct tpc_events endpoint_events = {
-  .begin_full = on_endpoint_begin,
-  .end_full = on_endpoint_end,
+  .snapshot_begin = on_list_begin,
+  .snapshot_end = on_list_end,
   .record = on_endpoint_record,
-  .current = on_endpoint_current,
-  .outage = on_endpoint_outage,
+  .current = on_list_current,
+  .outage = on_list_outage,
 };
 
 static void
@@ -260,31 +271,32 @@
   rly_destroy (control->relay);
   ncl_destroy (control->client);
   uv_close ((uv_handle_t *)&control->tick, NULL);
-  uv_close ((uv_handle_t *)&control->leave, NULL);
+  uv_close ((uv_handle_t *)&control->leave_group, NULL);
   uv_close ((uv_handle_t *)&control->stop, NULL);
 }
 
-/* Returns how long a call for the configuration waits, by its SHARE of the
-   time in which keys may be served after their removal.  */
+/* Returns how long a call for the configuration waits, in milliseconds, as
+   SHARE of the time for which a key may still be served after its removal.  */
 static uint32_t
-wait_ms (const struct fct_control *control, double share)
+long_poll_ms (const struct fct_control *control, double share)
 {
   return (uint32_t)((double)control->settings->revoke_us * share / CLK_MS_US);
 }
 
-/* In a large fleet, lets the relays read the store for all, and read it often
-   enough for that.  */
+/* In a fleet with more daemons than partitions, lets only the relays read the
+   store, and lets these ask for the configuration more often, since others
+   rely on their proofs.  */
 static void
-choose_readers (struct fct_control *control)
+choose_sources (struct fct_control *control)
 {
   bool crowded = grp_exceeds_partitions (control->group);
-  bool asks = crowded && !control->is_relay;
-  bool relays = crowded && control->is_relay;
-  tpc_ask_relays (control->operator_topic, asks);
-  tpc_ask_relays (control->endpoint_topic, asks);
-  tpc_set_wait (
-      control->operator_topic,
-      wait_ms (control, relays ? RELAY_WAIT_SHARE : CONFIG_WAIT_SHARE));
+  bool uses_relays = crowded && !control->is_relay;
+  bool serves_others = crowded && control->is_relay;
+  tpc_prefer_relays (control->operator_topic, uses_relays);
+  tpc_prefer_relays (control->endpoint_topic, uses_relays);
+  tpc_set_wait (control->operator_topic,
+                long_poll_ms (control, serves_others ? RELAY_WAIT_SHARE
+                                                     : CONFIG_WAIT_SHARE));
 }
 
 static void
@@ -293,14 +305,14 @@
   struct fct_control *control = timer->data;
   int64_t now_us = clk_monotonic_us ();
   ncl_expire (control->client, now_us);
-  control->changed |= rst_tick (control->roster, now_us);
+  control->view_outdated |= rst_tick (control->roster, now_us);
   publish (control);
-  choose_readers (control);
+  choose_sources (control);
   plc_step (control->placer, control->view->config, control->view->endpoints,
             now_us);
 }
 
-/* Begins to follow the topics of the store.  */
+/* Starts to follow the topics of the store.  */
 static void
 follow_topics (struct fct_control *control)
 {
@@ -310,40 +322,42 @@
     .address = control->settings->store_address,
     .topic = PFS_OPERATOR_TOPIC,
     .relays = (const char *const *)control->relays->pdata,
-    .wait_ms = wait_ms (control, CONFIG_WAIT_SHARE),
-    .answer_longest_ms = (uint32_t)((double)control->settings->config_us
-                                    * ANSWER_SHARE / CLK_MS_US),
+    .wait_ms = long_poll_ms (control, CONFIG_WAIT_SHARE),
+    .answer_timeout_max_ms = (uint32_t)((double)control->settings->config_us
+                                        * ANSWER_TIMEOUT_SHARE / CLK_MS_US),
     .events = &operator_events,
     .context = control,
   };
   control->operator_topic = tpc_create (&params);
   params.topic = PFS_ENDPOINT_TOPIC;
   params.wait_ms = 0;
-  params.pace_ms = (uint32_t)((double)control->settings->drain_us
-                              * LIST_PACE_SHARE / CLK_MS_US);
+  params.poll_interval_ms = (uint32_t)((double)control->settings->drain_us
+                                       * LIST_POLL_SHARE / CLK_MS_US);
   params.events = &endpoint_events;
   control->endpoint_topic = tpc_create (&params);
 }
 
-/* Finds the relays that this daemon asks, and whether it is one itself.  */
+/* Sets `relays' to the addresses of other daemons' relays, and `is_relay' if
+   the list has this daemon's own.  */
 static void
-find_relays (struct fct_control *control)
+list_relays (struct fct_control *control)
 {
-  char **listed = control->settings->relays;
+  char **addresses = control->settings->relays;
   control->relays = g_ptr_array_new ();
-  for (guint i = 0; listed != NULL && listed[i] != NULL; i++)
+  for (guint i = 0; addresses != NULL && addresses[i] != NULL; i++)
     {
-      bool own = strcmp (listed[i], control->settings->relay_address) == 0;
+      bool own = strcmp (addresses[i], control->settings->relay_address) == 0;
       control->is_relay |= own;
       if (!own)
         {
-          g_ptr_array_add (control->relays, listed[i]);
+          g_ptr_array_add (control->relays, addresses[i]);
         }
     }
   g_ptr_array_add (control->relays, NULL);
 }
 
-/* Joins the group, under a name that no earlier start of this daemon had.  */
+/* Joins the group under a name that is different for each start, so that the
+   membership of an earlier start isn't taken over.  */
 static void
 join_group (struct fct_control *control)
 {
@@ -370,9 +384,11 @@
   return NULL;
 }
 
-/* Starts the control thread, which publishes into VIEWS and tells NOTIFY with
-   CONTEXT of each view.  It replaces engines that VERDICTS call dead.
-   SETTINGS must outlive it.  */
+/* Starts the control thread, which publishes views in VIEWS and calls NOTIFY
+   with CONTEXT after each.  It replaces engines that VERDICTS name as dead.
+   SETTINGS, VIEWS and VERDICTS must outlive the result.  Returns NULL with
+   ERR_SETTINGS when the relay's address can't be used, or with ERR_INTERNAL
+   when the thread can't be started.  */
 struct fct_control *
 fct_create (const struct ens_settings *settings, struct fvw_store *views,
             struct vdt_verdicts *verdicts, fct_notify notify, void *context,
@@ -394,19 +410,19 @@
   control->view = fvw_view_create (NULL, rst_list (control->roster), 0);
   uv_loop_init (&control->loop);
   control->client = ncl_create (&control->loop, &client_params);
-  uv_async_init (&control->loop, &control->leave, on_leave);
-  control->leave.data = control;
+  uv_async_init (&control->loop, &control->leave_group, on_leave);
+  control->leave_group.data = control;
   uv_async_init (&control->loop, &control->stop, on_stop);
   control->stop.data = control;
   uv_timer_init (&control->loop, &control->tick);
   control->tick.data = control;
-  uv_timer_start (&control->tick, on_tick, TICK_MS, TICK_MS);
+  uv_timer_start (&control->tick, on_tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS);
   control->relay = rly_create (&control->loop, settings->relay_address, error);
   if (control->relay == NULL)
     {
       return NULL; /* the process ends */
     }
-  find_relays (control);
+  list_relays (control);
   join_group (control);
   const struct plc_params placer_params = {
     .client = control->client,
@@ -426,15 +442,15 @@
   return control;
 }
 
-/* Takes the daemon out of the group, from any thread, because it stops soon;
-   it goes on following the configuration and the list.  */
+/* Makes the daemon leave its group since it stops soon; it still follows the
+   configuration and the endpoint list.  Thread-safe.  */
 void
 fct_leave_group (struct fct_control *control)
 {
-  uv_async_send (&control->leave);
+  uv_async_send (&control->leave_group);
 }
 
-/* Ends the control thread.  */
+/* Stops the control thread and frees CONTROL, which may be NULL.  */
 void
 fct_destroy (struct fct_control *control)
 {
--- a/src/entry/fleet_control.h
+++ b/src/entry/fleet_control.h
@@ -1,6 +1,7 @@
 /* The control thread of an entry daemon: follows the configuration and the
-   list of endpoints, keeps the daemon in its group, places layers while it
-   leads, and publishes what it knows. */
+   list of endpoints in the store, relays them to other daemons, keeps the
+   daemon in its group, places layers while the daemon is the leader, and
+   publishes views to the traffic thread. */
 #ifndef ENTRY_FLEET_CONTROL_H
 #define ENTRY_FLEET_CONTROL_H
 
@@ -10,7 +11,8 @@
 
 struct fct_control;
 
-/* Tells another thread that a view was published.  */
+/* Called on the control thread after a view was published; must notify the
+   reader in a thread-safe way.  */
 typedef void (*fct_notify) (void *context);
 
 struct fct_control *fct_create (const struct ens_settings *settings,
--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -7,16 +7,16 @@
 
 #include <string.h>
 
-#define PATH "/relay?topic="
+#define RELAY_PATH "/relay?topic="
 
-/* A relay that hasn't reached the store for so long sends its readers there.
- */
+/* A relay whose newest proof is older than this answers 503, so that its
+   readers call the store instead. */
 #define PROOF_AGE_MAX_US (2800 * CLK_MS_US)
 
-/* Records that are told at once. */
+/* Limit on the records of one answer. */
 #define RECORDS_MAX 4096
 
-/* Bounds on other daemons as callers. */
+/* Limits on the connections of other daemons. */
 #define BODY_BYTES_MAX 1024
 #define HEADER_BYTES_MAX 4096
 #define HEADER_TIMEOUT_US (3 * CLK_S_US)
@@ -24,6 +24,7 @@
 #define UNSENT_BYTES_MAX 1048576
 #define SILENCE_MS 3000
 #define CONNECTIONS_MAX 1024
+/* Interval at which time-outs are checked. */
 #define SWEEP_MS 500
 
 /* The newest change of one key. */
@@ -34,26 +35,27 @@
   uint64_t offset;
 };
 
+/* The part of a topic that this daemon has read. */
 struct mirror
 {
   char *topic;
   GHashTable *changes; /* key to struct change */
-  uint64_t floor;      /* removals before this offset aren't known */
-  uint64_t end;
-  uint64_t newest;    /* offset of the newest change */
-  int64_t proved_us;  /* 0: nothing read yet */
-  GPtrArray *readers; /* struct reader, that wait for news */
+  uint64_t floor;      /* removals at lower offsets aren't known */
+  uint64_t end;        /* the topic was read up to this offset */
+  uint64_t newest;     /* offset of the newest change */
+  int64_t proved_us;  /* nothing more was in the topic then; 0: not read yet */
+  GPtrArray *readers; /* struct reader; waiting requests */
 };
 
-/* A daemon that waits for news. */
+/* A request of another daemon that waits for changes. */
 struct reader
 {
   struct mirror *mirror;
   struct nsv_connection *connection;
-  uint64_t from;
+  uint64_t from; /* first offset that it asks for */
   int64_t arrived_us;
   uv_timer_t timer;
-  bool over;
+  bool finished; /* its timer is closing */
 };
 
 struct rly_relay
@@ -86,7 +88,7 @@
   g_free (mirror);
 }
 
-/* Returns the mirror of TOPIC, made at need.  */
+/* Returns the mirror of TOPIC, created if it is new.  */
 static struct mirror *
 find_mirror (struct rly_relay *relay, const char *topic)
 {
@@ -104,11 +106,11 @@
 }
 
 /* Answers CONNECTION, whose request arrived at ARRIVED_US, with the changes of
-   MIRROR from the offset FROM on, or sends it to the store if removals since
-   then aren't known.  */
+   MIRROR from the offset FROM on.  Answers 410 if removals after FROM may be
+   unknown; the reader then reads the whole topic from the store.  */
 static void
-answer (const struct mirror *mirror, struct nsv_connection *connection,
-        uint64_t from, int64_t arrived_us)
+send_answer (const struct mirror *mirror, struct nsv_connection *connection,
+             uint64_t from, int64_t arrived_us)
 {
   if (from < mirror->floor)
     {
@@ -165,31 +167,33 @@
   g_free (handle->data);
 }
 
-/* Ends READER, with an answer if TELL.  */
+/* Ends the wait of READER; answers it if RESPOND, and not if its connection is
+   gone.  */
 static void
-end_reader (struct reader *reader, bool tell)
+finish_reader (struct reader *reader, bool respond)
 {
-  if (reader->over)
+  if (reader->finished)
     {
       return;
     }
-  reader->over = true;
+  reader->finished = true;
   g_ptr_array_remove (reader->mirror->readers, reader);
-  if (tell)
+  if (respond)
     {
-      answer (reader->mirror, reader->connection, reader->from,
-              reader->arrived_us);
+      send_answer (reader->mirror, reader->connection, reader->from,
+                   reader->arrived_us);
     }
   uv_close ((uv_handle_t *)&reader->timer, on_reader_closed);
 }
 
 static void
-on_wait_over (uv_timer_t *timer)
+on_wait_expired (uv_timer_t *timer)
 {
-  end_reader (timer->data, true);
+  finish_reader (timer->data, true);
 }
 
-/* Lets CONNECTION wait for news of MIRROR.  */
+/* Makes CONNECTION wait up to WAIT_MS for changes of MIRROR from the offset
+   FROM on.  */
 static void
 add_reader (struct rly_relay *relay, struct mirror *mirror,
             struct nsv_connection *connection, uint64_t from, uint64_t wait_ms)
@@ -201,11 +205,14 @@
   reader->arrived_us = clk_monotonic_us ();
   uv_timer_init (relay->loop, &reader->timer);
   reader->timer.data = reader;
-  uv_timer_start (&reader->timer, on_wait_over, wait_ms, 0);
+  uv_timer_start (&reader->timer, on_wait_expired, wait_ms, 0);
   g_ptr_array_add (mirror->readers, reader);
   nsv_bind (connection, reader);
 }
 
+/* Handles a request of another daemon: answers 503 without a recent proof, at
+   once if there are changes, or else when there are some or the wait
+   expires.  */
 static void
 on_request (void *context, struct nsv_connection *connection,
             const struct msg_message *request, const char *method)
@@ -213,13 +220,13 @@
   (void)method;
   struct rly_relay *relay = context;
   const char *url = request->url->str;
-  if (!g_str_has_prefix (url, PATH))
+  if (!g_str_has_prefix (url, RELAY_PATH))
     {
       nsv_answer (connection, HTTP_STATUS_NOT_FOUND, "", "", 0);
       return;
     }
-  size_t name_bytes = strcspn (url + strlen (PATH), "&");
-  char *topic = g_strndup (url + strlen (PATH), name_bytes);
+  size_t name_bytes = strcspn (url + strlen (RELAY_PATH), "&");
+  char *topic = g_strndup (url + strlen (RELAY_PATH), name_bytes);
   struct mirror *mirror = g_hash_table_lookup (relay->mirrors, topic);
   g_free (topic);
   uint64_t from = msg_query_number (url, "&from=");
@@ -233,7 +240,7 @@
            || (g_hash_table_size (mirror->changes) > 0
                && from <= mirror->newest))
     {
-      answer (mirror, connection, from, now_us);
+      send_answer (mirror, connection, from, now_us);
     }
   else
     {
@@ -243,21 +250,21 @@
 }
 
 static void
-on_gone (void *reader)
+on_reader_gone (void *reader)
 {
-  end_reader (reader, false);
+  finish_reader (reader, false);
 }
 
 static void
-on_drained (void *reader)
+ignore_drained (void *reader)
 {
   (void)reader;
 }
 
 static const struct nsv_events events = {
   .request = on_request,
-  .gone = on_gone,
-  .drained = on_drained,
+  .gone = on_reader_gone,
+  .drained = ignore_drained,
 };
 
 static void
@@ -306,7 +313,7 @@
   g_free (relay);
 }
 
-/* Closes RELAY; the loop must run once more.  */
+/* Closes RELAY; the loop must run once more to free it.  */
 void
 rly_destroy (struct rly_relay *relay)
 {
@@ -314,11 +321,11 @@
   uv_close ((uv_handle_t *)&relay->sweep, on_sweep_closed);
 }
 
-/* Takes RECORD of TOPIC, which changes something.  Those who wait are told
-   with rly_current.  */
+/* Adds RECORD of TOPIC, which changes a key.  Waiting readers are answered by
+   the next rly_set_current.  */
 void
-rly_put (struct rly_relay *relay, const char *topic,
-         const struct pfs_record *record)
+rly_add_record (struct rly_relay *relay, const char *topic,
+                const struct pfs_record *record)
 {
   struct mirror *mirror = find_mirror (relay, topic);
   const struct change *known
@@ -338,36 +345,38 @@
   mirror->newest = MAX (mirror->newest, record->offset);
 }
 
-/* Notes that TOPIC was read as a whole when it ended at FLOOR: readers that
-   know less have to do so too, since removals before it aren't known.  */
+/* Records that the whole of TOPIC was read when it ended at FLOOR.  Readers
+   from lower offsets have to read the whole topic too, since removals before
+   FLOOR aren't known here.  */
 void
-rly_restart (struct rly_relay *relay, const char *topic, uint64_t floor)
+rly_set_floor (struct rly_relay *relay, const char *topic, uint64_t floor)
 {
   find_mirror (relay, topic)->floor = floor;
 }
 
-/* Notes that TOPIC was read up to END, and that nothing more was there at
-   PROVED_US.  Those who wait are told.  */
+/* Records that TOPIC was read up to the offset END, and that nothing more was
+   in it at PROVED_US.  Answers the waiting readers.  */
 void
-rly_current (struct rly_relay *relay, const char *topic, uint64_t end,
-             int64_t proved_us)
+rly_set_current (struct rly_relay *relay, const char *topic, uint64_t end,
+                 int64_t proved_us)
 {
   struct mirror *mirror = find_mirror (relay, topic);
   mirror->end = end;
   mirror->proved_us = MAX (mirror->proved_us, proved_us);
   for (guint i = mirror->readers->len; i-- > 0;)
     {
-      end_reader (g_ptr_array_index (mirror->readers, i), true);
+      finish_reader (g_ptr_array_index (mirror->readers, i), true);
     }
 }
 
-/* Returns the path that asks a relay for changes of TOPIC from the offset FROM
-   on, within WAIT_MS.  The caller frees it.  */
+/* Returns the path of a request to a relay for changes of TOPIC from the
+   offset FROM on, which waits up to WAIT_MS for them.  The caller frees
+   it.  */
 char *
 rly_path (const char *topic, uint64_t from, uint32_t wait_ms)
 {
-  return g_strdup_printf (PATH "%s&from=%" G_GUINT64_FORMAT "&wait=%u", topic,
-                          from, wait_ms);
+  return g_strdup_printf (RELAY_PATH "%s&from=%" G_GUINT64_FORMAT "&wait=%u",
+                          topic, from, wait_ms);
 }
 
 static gint
@@ -379,9 +388,10 @@
          - ((*left)->offset < (*right)->offset);
 }
 
-/* Decodes the answer BODY of a relay.  PROOF_LEAD_US is the time from the
-   request's arrival there to the proof.  Returns false with ERR_PROTOCOL when
-   it can't be read.  PAGE is to be cleared in both cases.  */
+/* Decodes the answer BODY of a relay into PAGE.  Sets PROOF_LEAD_US to the
+   time from the arrival of the request at the relay to the relay's proof; it
+   is negative if the proof is older.  Returns false with ERR_PROTOCOL when
+   BODY can't be read.  The caller clears PAGE in both cases.  */
 bool
 rly_decode (const void *body, size_t body_bytes, struct pfs_page *page,
             int64_t *proof_lead_us, GError **error)
@@ -391,19 +401,19 @@
   if (decoded == NULL)
     {
       g_set_error (error, ERR_DOMAIN, ERR_PROTOCOL,
-                   "a relay's page can't be read");
+                   "can't decode a page of a relay");
       return false;
     }
   for (size_t i = 0; i < decoded->n_records; i++)
     {
-      const RelayRecord *told = decoded->records[i];
+      const RelayRecord *relayed = decoded->records[i];
       struct pfs_record *record = g_new0 (struct pfs_record, 1);
-      record->key = g_strdup (told->key);
-      record->offset = told->offset;
-      if (!told->removed)
+      record->key = g_strdup (relayed->key);
+      record->offset = relayed->offset;
+      if (!relayed->removed)
         {
-          record->value = g_memdup2 (told->value.data, told->value.len);
-          record->value_bytes = told->value.len;
+          record->value = g_memdup2 (relayed->value.data, relayed->value.len);
+          record->value_bytes = relayed->value.len;
         }
       g_ptr_array_add (page->records, record);
     }
--- a/src/entry/relay.h
+++ b/src/entry/relay.h
@@ -1,5 +1,6 @@
-/* Tells other daemons what this one reads in the store, so that few of them
-   call it.  Records that change nothing for routing aren't told. */
+/* Relays what this daemon reads in the store to other daemons, so that only
+   few daemons call the store.  Records that don't matter for routing aren't
+   relayed. */
 #ifndef ENTRY_RELAY_H
 #define ENTRY_RELAY_H
 
@@ -12,11 +13,12 @@
 struct rly_relay *rly_create (uv_loop_t *loop, const char *address,
                               GError **error);
 void rly_destroy (struct rly_relay *relay);
-void rly_put (struct rly_relay *relay, const char *topic,
-              const struct pfs_record *record);
-void rly_restart (struct rly_relay *relay, const char *topic, uint64_t floor);
-void rly_current (struct rly_relay *relay, const char *topic, uint64_t end,
-                  int64_t proved_us);
+void rly_add_record (struct rly_relay *relay, const char *topic,
+                     const struct pfs_record *record);
+void rly_set_floor (struct rly_relay *relay, const char *topic,
+                    uint64_t floor);
+void rly_set_current (struct rly_relay *relay, const char *topic, uint64_t end,
+                      int64_t proved_us);
 
 char *rly_path (const char *topic, uint64_t from, uint32_t wait_ms);
 bool rly_decode (const void *body, size_t body_bytes, struct pfs_page *page,
--- a/test/relay_test.c
+++ b/test/relay_test.c
@@ -128,13 +128,13 @@
       break;
     case ACT_PUT:
     case ACT_REMOVE:
-      rly_put (relay, TOPIC, &record);
+      rly_add_record (relay, TOPIC, &record);
       break;
     case ACT_CURRENT:
-      rly_current (relay, TOPIC, step->offset, clk_monotonic_us ());
+      rly_set_current (relay, TOPIC, step->offset, clk_monotonic_us ());
       break;
     case ACT_RESTART:
-      rly_restart (relay, TOPIC, step->offset);
+      rly_set_floor (relay, TOPIC, step->offset);
       break;
     }
 }
