--- a/src/entry/placing.c
+++ b/src/entry/placing.c
@@ -140,7 +140,8 @@
 static void
 send_order (struct order *order, uint64_t fence)
 {
-  char *body = pfr_place_order (order->layers.first, order->layers.end, fence);
+  char *body
+      = pfr_place_order_body (order->layers.first, order->layers.end, fence);
   const struct cal_params params = {
     .client = order->placer->params.client,
     .loop = order->placer->params.loop,
--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -396,7 +396,7 @@
 rly_decode (const void *body, size_t body_bytes, struct pfs_page *page,
             int64_t *proof_lead_us, GError **error)
 {
-  pfs_start_page (page);
+  pfs_init_page (page);
   RelayPage *decoded = relay_page__unpack (NULL, body_bytes, body);
   if (decoded == NULL)
     {
