--- a/test/relay_test.c
+++ b/test/relay_test.c
@@ -1,3 +1,5 @@
+/* Tests of the relay: what it answers to another daemon before, during and
+   after changes of a topic. */
 #include "base/clock.h"
 #include "entry/relay.h"
 #include "net/call.h"
@@ -14,28 +16,29 @@
 #define WAIT_MS 150
 #define RECORDS_MAX 4
 
-/* What a daemon got of a relay. */
+/* What another daemon received from the relay. */
 struct answer
 {
-  bool over;
+  bool done;
   uint32_t status;
-  char keys[64]; /* of records, a removal after a minus */
+  char keys[64]; /* keys of records, each with a blank after it, a removed one
+                    with a minus before it */
   uint64_t end;
   int64_t proof_lead_us;
 };
 
-enum act
+enum action
 {
   ACT_NOTHING,
   ACT_PUT, /* `key' at `offset' */
   ACT_REMOVE,
-  ACT_CURRENT, /* read up to `offset', proved now */
-  ACT_RESTART  /* read as a whole when it ended at `offset' */
+  ACT_CURRENT, /* the topic was read up to `offset' just now */
+  ACT_RESTART  /* a snapshot of the topic ended at `offset' */
 };
 
-struct step
+struct event
 {
-  enum act act;
+  enum action action;
   const char *key;
   uint64_t offset;
 };
@@ -43,44 +46,44 @@
 struct row
 {
   const char *name;
-  struct step before[RECORDS_MAX];
+  struct event before[RECORDS_MAX];
   uint64_t from;
-  struct step during[RECORDS_MAX]; /* while the daemon waits */
+  struct event during[RECORDS_MAX]; /* while the other daemon waits */
   uint32_t status;
   const char *keys;
   uint64_t end;
 };
 
 static const struct row rows[] = {
-  { "nothing was read yet",
+  { "the topic was not read yet",
     { { ACT_NOTHING, NULL, 0 } },
     0,
     { { ACT_NOTHING, NULL, 0 } },
     503,
     "",
     0 },
-  { "what changed is told at once",
+  { "a known change is answered at once",
     { { ACT_PUT, "a", 5 }, { ACT_PUT, "b", 6 }, { ACT_CURRENT, NULL, 7 } },
     6,
     { { ACT_NOTHING, NULL, 0 } },
     200,
     "b ",
     7 },
-  { "a removal is told",
+  { "a removal is relayed",
     { { ACT_PUT, "a", 5 }, { ACT_REMOVE, "a", 6 }, { ACT_CURRENT, NULL, 7 } },
     5,
     { { ACT_NOTHING, NULL, 0 } },
     200,
     "-a ",
     7 },
-  { "without news the wait ends",
+  { "the wait expires without a change",
     { { ACT_PUT, "a", 5 }, { ACT_CURRENT, NULL, 7 } },
     7,
     { { ACT_NOTHING, NULL, 0 } },
     200,
     "",
     7 },
-  { "news end the wait",
+  { "a change ends the wait",
     { { ACT_PUT, "a", 5 }, { ACT_CURRENT, NULL, 7 } },
     7,
     { { ACT_PUT, "c", 8 }, { ACT_CURRENT, NULL, 9 } },
@@ -94,7 +97,7 @@
     200,
     "a ",
     7 },
-  { "who knows less than a whole reading is sent to the store",
+  { "a reader from before the snapshot has to use the store",
     { { ACT_PUT, "a", 9 },
       { ACT_RESTART, NULL, 10 },
       { ACT_CURRENT, NULL, 10 } },
@@ -103,8 +106,10 @@
     410,
     "",
     0 },
-  /* Found on a day that dropped the store's history: removals were lost. */
-  { "also if it waited while that was made",
+  /* Guards against lost removals: after the store had dropped its history, a
+     relay that took a new snapshot answered waiting readers as if it knew of
+     every removal. */
+  { "a reader that waits during the snapshot has to use it too",
     { { ACT_PUT, "a", 5 }, { ACT_CURRENT, NULL, 7 } },
     7,
     { { ACT_RESTART, NULL, 10 }, { ACT_CURRENT, NULL, 10 } },
@@ -114,15 +119,15 @@
 };
 
 static void
-apply (struct rly_relay *relay, const struct step *step)
+apply_event (struct rly_relay *relay, const struct event *event)
 {
   struct pfs_record record = {
-    .key = (char *)step->key,
-    .offset = step->offset,
-    .value = step->act == ACT_PUT ? (uint8_t *)"v" : NULL,
-    .value_bytes = step->act == ACT_PUT ? 1 : 0,
+    .key = (char *)event->key,
+    .offset = event->offset,
+    .value = event->action == ACT_PUT ? (uint8_t *)"v" : NULL,
+    .value_bytes = event->action == ACT_PUT ? 1 : 0,
   };
-  switch (step->act)
+  switch (event->action)
     {
     case ACT_NOTHING:
       break;
@@ -131,10 +136,10 @@
       rly_add_record (relay, TOPIC, &record);
       break;
     case ACT_CURRENT:
-      rly_set_current (relay, TOPIC, step->offset, clk_monotonic_us ());
+      rly_set_current (relay, TOPIC, event->offset, clk_monotonic_us ());
       break;
     case ACT_RESTART:
-      rly_set_floor (relay, TOPIC, step->offset);
+      rly_set_floor (relay, TOPIC, event->offset);
       break;
     }
 }
@@ -146,7 +151,7 @@
   (void)why;
   struct answer *answer = context;
   struct pfs_page page;
-  answer->over = true;
+  answer->done = true;
   answer->status = status;
   if (status != 200)
     {
@@ -166,9 +171,9 @@
   pfs_clear_page (&page);
 }
 
-/* Plays ROW on a relay of its own.  */
+/* Runs ROW on a relay of its own.  */
 static void
-play (const struct row *row, struct answer *answer)
+run_row (const struct row *row, struct answer *answer)
 {
   const struct ncl_params client_params
       = { .connect_timeout_us = CLK_S_US, .silence_ms = 1000 };
@@ -182,7 +187,7 @@
   struct ncl_client *client = ncl_create (&loop, &client_params);
   for (size_t i = 0; i < RECORDS_MAX; i++)
     {
-      apply (relay, &row->before[i]);
+      apply_event (relay, &row->before[i]);
     }
   char *path = rly_path (TOPIC, row->from, WAIT_MS);
   const struct cal_params params = {
@@ -198,14 +203,14 @@
   cal_send (&params);
   int64_t change_us = clk_monotonic_us () + WAIT_MS / 3 * CLK_MS_US;
   bool changed = false;
-  while (!answer->over)
+  while (!answer->done)
     {
       usleep (1000);
       uv_run (&loop, UV_RUN_NOWAIT);
       bool due = !changed && clk_monotonic_us () >= change_us;
       for (size_t i = 0; due && i < RECORDS_MAX; i++)
         {
-          apply (relay, &row->during[i]);
+          apply_event (relay, &row->during[i]);
         }
       changed |= due;
     }
@@ -223,7 +228,7 @@
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
       struct answer answer = { 0 };
-      play (&rows[i], &answer);
+      run_row (&rows[i], &answer);
       if (answer.status != rows[i].status
           || strcmp (answer.keys, rows[i].keys) != 0
           || answer.end != rows[i].end)
@@ -231,7 +236,7 @@
           fail_msg ("%s: status %u, keys '%s', end %lu", rows[i].name,
                     answer.status, answer.keys, (unsigned long)answer.end);
         }
-      /* The proof of what a relay tells is never newer than the answer. */
+      /* The proof isn't newer than the answer. */
       assert_true (answer.proof_lead_us < CLK_S_US);
     }
 }
@@ -241,9 +246,9 @@
 {
   (void)state;
   struct pfs_page page;
-  int64_t lead_us = 0;
+  int64_t proof_lead_us = 0;
   g_autoptr (GError) error = NULL;
-  assert_false (rly_decode ("\xff\xff\xff", 3, &page, &lead_us, &error));
+  assert_false (rly_decode ("\xff\xff\xff", 3, &page, &proof_lead_us, &error));
   assert_non_null (error);
   pfs_clear_page (&page);
 }
--- a/test/verdicts_test.c
+++ b/test/verdicts_test.c
@@ -6,14 +6,14 @@
 
 #include <cmocka.h>
 
-enum act
+enum action
 {
   ACT_NONE,
   ACT_DEAD,
   ACT_CLEAR
 };
 
-/* A verdict holds for one incarnation, until it is taken back.  */
+/* A verdict applies to one incarnation of an endpoint until it is cleared.  */
 static void
 test_verdicts (void **state)
 {
@@ -22,7 +22,7 @@
   {
     const char *id;
     int64_t born_ms;
-    enum act act;
+    enum action action;
     bool first_dead;  /* "a", started at 1 */
     bool second_dead; /* "a", started at 2 */
   } rows[] = {
@@ -33,11 +33,11 @@
   struct vdt_verdicts *verdicts = vdt_create ();
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
-      if (rows[i].act == ACT_DEAD)
+      if (rows[i].action == ACT_DEAD)
         {
           vdt_set_dead (verdicts, rows[i].id, rows[i].born_ms);
         }
-      else if (rows[i].act == ACT_CLEAR)
+      else if (rows[i].action == ACT_CLEAR)
         {
           vdt_clear (verdicts, rows[i].id);
         }
--- a/test/view_test.c
+++ b/test/view_test.c
@@ -1,6 +1,7 @@
-/* A proof never belongs to a newer view than the one that comes with it.
-   Found by the soak, seed 131: after a pause, requests with a key that had
-   been removed were served by the old view and the new proof.  */
+/* A proof must not be newer than the view that is acquired with it.  Guards
+   against reading the proof after the view: found by the soak, seed 131, where
+   after a pause of the process requests with a removed key were accepted by an
+   old view with a newer proof.  */
 #include "entry/fleet_view.h"
 
 #include <setjmp.h>
@@ -12,7 +13,8 @@
 
 #define VIEWS 20000
 
-/* Publishes views, numbered by their share, and their proofs.  */
+/* Publishes views whose shares are consecutive numbers, and the same numbers
+   as proofs.  */
 static void *
 publish (void *context)
 {
