--- a/test/entry_test.c
+++ b/test/entry_test.c
@@ -1,4 +1,5 @@
-/* The entry daemon as a process of its own before the stand-in fleet.  */
+/* Tests of the entry daemon, which runs as a process of its own against a
+   stand-in fleet.  */
 #include "base/clock.h"
 #include "net/client.h"
 #include "platform/headers.h"
@@ -21,14 +22,14 @@
 #define SERVICES 2
 #define EVENT_MS 15
 
-/* Bounds of the daemon under test. */
+/* Settings of the daemon under test. */
 #define DRAIN_MS 800
 #define CONFIG_MS 1000
 #define REVOKE_MS 2000
 #define STOP_S 6
 
-/* Everything is over by then. */
-#define PATIENCE_US (20 * CLK_S_US)
+/* Time-out of waiting in a test. */
+#define TIMEOUT_US (20 * CLK_S_US)
 
 struct fixture
 {
@@ -41,12 +42,12 @@
   uint32_t next_id;
 };
 
-/* A request of a caller and what came of it. */
+/* A request of a caller and its answer so far. */
 struct call
 {
   struct ncl_exchange *exchange;
   uint32_t status;
-  bool over;
+  bool done;
   bool complete;
   bool ends_with_connection;
   bool has_retry_after;
@@ -74,7 +75,7 @@
 on_complete (void *context)
 {
   struct call *call = context;
-  call->over = true;
+  call->done = true;
   call->complete = true;
 }
 
@@ -83,7 +84,7 @@
 {
   (void)failure;
   struct call *call = context;
-  call->over = true;
+  call->done = true;
 }
 
 static const struct ncl_events call_events = {
@@ -111,7 +112,7 @@
     }
 }
 
-/* Sends REQUEST, a whole one, on a new connection.  */
+/* Sends the complete request REQUEST on a new connection.  */
 static void
 start_call (struct fixture *fixture, struct call *call, const char *address,
             const char *request, size_t request_bytes)
@@ -125,12 +126,12 @@
 static void
 await_call (struct fixture *fixture, struct call *call)
 {
-  int64_t end_us = clk_monotonic_us () + PATIENCE_US;
-  while (!call->over && clk_monotonic_us () < end_us)
+  int64_t end_us = clk_monotonic_us () + TIMEOUT_US;
+  while (!call->done && clk_monotonic_us () < end_us)
     {
       uv_run (&fixture->loop, UV_RUN_ONCE);
     }
-  assert_true (call->over);
+  assert_true (call->done);
 }
 
 static void
@@ -139,7 +140,8 @@
   g_string_free (call->body, TRUE);
 }
 
-/* Returns the status of a probe of the balancer, or 0.  */
+/* Sends a readiness probe, as the load balancer does.  Returns the HTTP
+   status, or 0.  */
 static uint32_t
 probe (struct fixture *fixture)
 {
@@ -154,11 +156,11 @@
   return status;
 }
 
-/* Waits until the daemon is ready and its engines hold every layer.  */
+/* Waits until the daemon is ready and the engines hold every layer.  */
 static void
 await_ready (struct fixture *fixture)
 {
-  int64_t end_us = clk_monotonic_us () + PATIENCE_US;
+  int64_t end_us = clk_monotonic_us () + TIMEOUT_US;
   while (clk_monotonic_us () < end_us
          && (!sfl_is_placed (fixture->fleet) || probe (fixture) != 200))
     {
@@ -230,10 +232,11 @@
 
 #define FLEET_HOST "fleet.example"
 
-/* Builds a request of ID.  */
+/* Builds a request with the request id ID.  Its account header is forged, so
+   the daemon must replace it.  The caller frees it.  */
 static char *
-build (const char *method, const char *host, const char *path, const char *key,
-       const char *id, const char *body)
+build_request (const char *method, const char *host, const char *path,
+               const char *key, const char *id, const char *body)
 {
   return g_strdup_printf (
       "%s %s HTTP/1.1\r\nHost: %s\r\nX-Api-Key: %s\r\nX-Own: 1\r\n"
@@ -243,9 +246,9 @@
       PFH_TOKENS, strlen (body), body);
 }
 
-/* Returns the events of the whole stream of ID.  */
+/* Returns all events of the stream of the request ID.  */
 static GString *
-whole_stream (const char *id)
+expected_stream (const char *id)
 {
   GString *text = g_string_new (NULL);
   for (uint32_t i = 1; i <= SFL_STREAM_EVENTS; i++)
@@ -255,25 +258,25 @@
   return text;
 }
 
-enum want
+enum expected_body
 {
-  WANT_NOTHING,
-  WANT_STREAM,
-  WANT_DONE
+  BODY_ANY,
+  BODY_STREAM,
+  BODY_DONE
 };
 
 struct row
 {
   const char *name;
-  const char *host; /* NULL: the fleet's */
+  const char *host; /* NULL: that of the fleet */
   const char *path;
-  const char *key; /* NULL: the account's */
+  const char *key; /* NULL: that of the account */
   enum sfl_fault fault;
   uint32_t fault_requests;
   uint32_t status;
-  enum want want;
+  enum expected_body body;
   uint32_t runs;
-  bool engines; /* have the fault; else services */
+  bool engines; /* engines have the fault; else services */
   bool retry_after;
 };
 
@@ -281,17 +284,17 @@
   { .name = "a stream",
     .path = "/draft/a",
     .status = 200,
-    .want = WANT_STREAM,
+    .body = BODY_STREAM,
     .runs = 1 },
   { .name = "a booking",
     .path = "/book/a",
     .status = 200,
-    .want = WANT_DONE,
+    .body = BODY_DONE,
     .runs = 1 },
   { .name = "a lookup",
     .path = "/look/a",
     .status = 200,
-    .want = WANT_DONE,
+    .body = BODY_DONE,
     .runs = 1 },
   { .name = "an unknown key",
     .path = "/book/a",
@@ -302,14 +305,14 @@
     .host = "other.example",
     .path = "/book/a",
     .status = 404 },
-  { .name = "a booking that was refused unrun is sent elsewhere",
+  { .name = "a booking that was refused before it ran is retried",
     .path = "/book/a",
     .fault = SFL_REFUSES,
     .fault_requests = 1,
     .status = 200,
-    .want = WANT_DONE,
+    .body = BODY_DONE,
     .runs = 1 },
-  { .name = "a booking that is refused everywhere",
+  { .name = "a booking that every endpoint refuses",
     .path = "/book/a",
     .fault = SFL_REFUSES,
     .fault_requests = 9,
@@ -321,25 +324,25 @@
     .fault_requests = 1,
     .status = 502,
     .runs = 1 },
-  { .name = "a booking whose answer is torn runs once",
+  { .name = "a booking whose answer is cut off runs once",
     .path = "/book/a",
     .fault = SFL_TEARS,
     .fault_requests = 1,
     .status = 502,
     .runs = 1 },
-  { .name = "a booking that gets another's answer",
+  { .name = "a booking that gets the answer to another request",
     .path = "/book/a",
     .fault = SFL_FOREIGN,
     .fault_requests = 1,
     .status = 502,
     .runs = 1 },
-  { .name = "a booking whose answer bears no signature",
+  { .name = "a booking whose answer has no signature",
     .path = "/book/a",
     .fault = SFL_UNSIGNED,
     .fault_requests = 1,
     .status = 502,
     .runs = 1 },
-  { .name = "a booking without an answer ends in time",
+  { .name = "a booking without an answer ends at its deadline",
     .path = "/book/a",
     .fault = SFL_MUTE,
     .fault_requests = 1,
@@ -356,14 +359,14 @@
     .fault = SFL_CUTS,
     .fault_requests = 1,
     .status = 200,
-    .want = WANT_DONE,
+    .body = BODY_DONE,
     .runs = 2 },
   { .name = "a lookup that fails runs again",
     .path = "/look/a",
     .fault = SFL_FAILS,
     .fault_requests = 1,
     .status = 200,
-    .want = WANT_DONE,
+    .body = BODY_DONE,
     .runs = 2 },
   { .name = "a lookup that always fails delivers the failure",
     .path = "/look/a",
@@ -371,21 +374,21 @@
     .fault_requests = 9,
     .status = 500,
     .runs = 2 },
-  { .name = "a stream that is cut within an event goes on elsewhere",
+  { .name = "a stream that is cut within an event is resumed",
     .path = "/draft/a",
     .engines = true,
     .fault = SFL_CUTS_MIDWAY,
     .fault_requests = 1,
     .status = 200,
-    .want = WANT_STREAM,
+    .body = BODY_STREAM,
     .runs = 2 },
-  { .name = "a stream that was refused unrun",
+  { .name = "a stream that was refused before it ran",
     .path = "/draft/a",
     .engines = true,
     .fault = SFL_REFUSES,
     .fault_requests = 1,
     .status = 200,
-    .want = WANT_STREAM,
+    .body = BODY_STREAM,
     .runs = 1 },
 };
 
@@ -394,15 +397,15 @@
 check_answer (struct fixture *fixture, const struct row *row, const char *id,
               const struct call *call)
 {
-  GString *want
-      = row->want == WANT_STREAM ? whole_stream (id) : g_string_new (NULL);
-  if (row->want == WANT_DONE)
+  GString *expected
+      = row->body == BODY_STREAM ? expected_stream (id) : g_string_new (NULL);
+  if (row->body == BODY_DONE)
     {
-      g_string_append_printf (want, "done %s", id);
+      g_string_append_printf (expected, "done %s", id);
     }
-  bool body_good
-      = row->want == WANT_NOTHING || strcmp (want->str, call->body->str) == 0;
-  if (call->status != row->status || !call->complete || !body_good
+  bool body_matches
+      = row->body == BODY_ANY || strcmp (expected->str, call->body->str) == 0;
+  if (call->status != row->status || !call->complete || !body_matches
       || sfl_runs (fixture->fleet, id) != row->runs
       || call->has_retry_after != row->retry_after
       || call->ends_with_connection)
@@ -412,12 +415,13 @@
                 sfl_runs (fixture->fleet, id), call->has_retry_after,
                 call->body->str);
     }
-  g_string_free (want, TRUE);
+  g_string_free (expected, TRUE);
 }
 
-/* Endpoints that rested after a fault are proved good again.  */
+/* Clears all faults and sends requests until endpoints that are in back-off
+   have proved that they work.  */
 static void
-heal (struct fixture *fixture)
+restore_endpoints (struct fixture *fixture)
 {
   sfl_set_fault (fixture->fleet, false, SFL_SOUND, 0);
   sfl_set_fault (fixture->fleet, true, SFL_SOUND, 0);
@@ -427,8 +431,8 @@
       struct call call;
       char id[32];
       g_snprintf (id, sizeof id, "heal-%u", fixture->next_id++);
-      char *request = build ("POST", FLEET_HOST,
-                             i < 4 ? "/draft/h" : "/book/h", "key-1", id, "");
+      char *request = build_request (
+          "POST", FLEET_HOST, i < 4 ? "/draft/h" : "/book/h", "key-1", id, "");
       start_call (fixture, &call, sep_caller_address (fixture->daemon),
                   request, strlen (request));
       await_call (fixture, &call);
@@ -447,7 +451,7 @@
       struct call call;
       char id[32];
       g_snprintf (id, sizeof id, "row-%zu", i);
-      char *request = build (
+      char *request = build_request (
           "POST", row->host == NULL ? FLEET_HOST : row->host, row->path,
           row->key == NULL ? "key-1" : row->key, id, "some body");
       sfl_set_fault (fixture->fleet, row->engines, row->fault,
@@ -460,14 +464,15 @@
       g_free (request);
       if (row->fault != SFL_SOUND)
         {
-          heal (fixture);
+          restore_endpoints (fixture);
         }
     }
   assert_null (sfl_violation (fixture->fleet));
 }
 
-/* Found by the first hunt: an answer that only the end of its connection ends
-   was passed on with a length, torn or not.  */
+/* Guards against a torn answer that looks complete: an answer that only the
+   end of its connection ends was passed on with a length, whether it was
+   complete or not.  */
 static void
 test_without_length (void **state)
 {
@@ -478,7 +483,8 @@
       struct call call;
       char id[32];
       g_snprintf (id, sizeof id, "unframed-%zu", i);
-      char *request = build ("POST", FLEET_HOST, paths[i], "key-1", id, "");
+      char *request
+          = build_request ("POST", FLEET_HOST, paths[i], "key-1", id, "");
       sfl_set_fault (fixture->fleet, i == 1, SFL_WITHOUT_LENGTH, 1);
       start_call (fixture, &call, sep_caller_address (fixture->daemon),
                   request, strlen (request));
@@ -490,9 +496,9 @@
     }
 }
 
-/* Callers' faults, each on a raw request.  */
+/* Raw requests that are invalid or over a limit get their 4xx status.  */
 static void
-test_callers_limits (void **state)
+test_rejected_requests (void **state)
 {
   struct fixture *fixture = *state;
   GString *long_header = g_string_new (
@@ -534,15 +540,16 @@
   g_string_free (long_header, TRUE);
 }
 
-/* An endpoint stops working soon after its caller has left.  */
+/* An endpoint stops working on a request soon after its caller has
+   disconnected.  */
 static void
-test_caller_leaves (void **state)
+test_caller_disconnects (void **state)
 {
   struct fixture *fixture = *state;
   struct call call;
   uint32_t before = sfl_cancelled (fixture->fleet);
   char *request
-      = build ("POST", FLEET_HOST, "/draft/a", "key-1", "leaver", "");
+      = build_request ("POST", FLEET_HOST, "/draft/a", "key-1", "leaver", "");
   start_call (fixture, &call, sep_caller_address (fixture->daemon), request,
               strlen (request));
   while (call.body->len == 0)
@@ -556,14 +563,14 @@
   g_free (request);
 }
 
-/* Sends one booking with KEY.  Returns the status.  */
+/* Sends one booking with the API key KEY.  Returns the HTTP status.  */
 static uint32_t
-book (struct fixture *fixture, const char *key)
+send_booking (struct fixture *fixture, const char *key)
 {
   struct call call;
   char id[32];
   g_snprintf (id, sizeof id, "book-%u", fixture->next_id++);
-  char *request = build ("POST", FLEET_HOST, "/book/a", key, id, "");
+  char *request = build_request ("POST", FLEET_HOST, "/book/a", key, id, "");
   start_call (fixture, &call, sep_caller_address (fixture->daemon), request,
               strlen (request));
   await_call (fixture, &call);
@@ -573,10 +580,11 @@
   return status;
 }
 
-/* Versions come into force at once, older ones never; keys are served only
-   while they are known to be fresh, and again after the first contact.  */
+/* A newer configuration takes effect at once and an older one never does.
+   Keys are accepted only while the configuration is known to be fresh, and
+   again after the next contact with the store.  */
 static void
-test_configurations (void **state)
+test_configuration_changes (void **state)
 {
   struct fixture *fixture = *state;
   static const struct
@@ -585,18 +593,18 @@
     const char *extra_key;
     enum sfl_store_state store;
     int64_t wait_ms;
-    uint32_t status; /* of the account's key */
-    uint32_t extra_status;
+    uint32_t status;       /* expected with the account's key */
+    uint32_t extra_status; /* expected with key-2 */
   } steps[] = {
     { 0, NULL, SFL_STORE_SOUND, 0, 200, 401 },
     { 5, "key-2", SFL_STORE_SOUND, 200, 200, 200 },
     { 3, NULL, SFL_STORE_SOUND, 200, 200,
-      200 }, /* an older one: stays in force */
+      200 }, /* an older one has no effect */
     { 8, NULL, SFL_STORE_SOUND, 200, 200, 401 },
     { 0, NULL, SFL_STORE_REFUSES, 100, 200, 401 },
     { 0, NULL, SFL_STORE_REFUSES, REVOKE_MS, 503, 503 },
     { 0, NULL, SFL_STORE_SOUND, 1500, 200, 401 },
-    /* Calls that the store never answered don't hold news up. */
+    /* Calls that the store never answered don't delay a later change. */
     { 0, NULL, SFL_STORE_SILENT, 4500, 503, 503 },
     { 11, "key-2", SFL_STORE_SOUND, CONFIG_MS, 200, 200 },
   };
@@ -608,8 +616,8 @@
           sfl_publish (fixture->fleet, steps[i].version, steps[i].extra_key);
         }
       run_for (fixture, steps[i].wait_ms * CLK_MS_US);
-      uint32_t status = book (fixture, "key-1");
-      uint32_t extra_status = book (fixture, "key-2");
+      uint32_t status = send_booking (fixture, "key-1");
+      uint32_t extra_status = send_booking (fixture, "key-2");
       if (status != steps[i].status || extra_status != steps[i].extra_status)
         {
           fail_msg ("step %zu: %u, %u", i, status, extra_status);
@@ -617,24 +625,26 @@
     }
 }
 
-/* A leaving endpoint gets no new work once the list has said so.  */
+/* A leaving endpoint gets no new requests once the endpoint list says that it
+   leaves.  */
 static void
-test_leaving (void **state)
+test_leaving_endpoint (void **state)
 {
   struct fixture *fixture = *state;
-  uint32_t leaver = ENGINES;
-  sfl_leave (fixture->fleet, leaver);
+  uint32_t leaving = ENGINES;
+  sfl_leave (fixture->fleet, leaving);
   run_for (fixture, (DRAIN_MS + 100) * CLK_MS_US);
-  uint32_t before = sfl_arrivals (fixture->fleet, leaver);
+  uint32_t before = sfl_arrivals (fixture->fleet, leaving);
   for (uint32_t i = 0; i < 10; i++)
     {
-      assert_int_equal (book (fixture, "key-1"), 200);
+      assert_int_equal (send_booking (fixture, "key-1"), 200);
     }
-  assert_int_equal (sfl_arrivals (fixture->fleet, leaver), before);
+  assert_int_equal (sfl_arrivals (fixture->fleet, leaving), before);
 }
 
-/* Streams over an engine that dies go on over the others, each event once and
-   in order, while the list still names the dead one.  */
+/* When an engine dies, streams through it are resumed on other engines, each
+   event once and in order, while the endpoint list still names the dead
+   engine.  */
 static void
 test_engine_dies (void **state)
 {
@@ -646,7 +656,8 @@
   for (uint32_t i = 0; i < 8; i++)
     {
       g_snprintf (id, sizeof id, "dies-%u", i);
-      requests[i] = build ("POST", FLEET_HOST, "/draft/a", "key-1", id, "");
+      requests[i]
+          = build_request ("POST", FLEET_HOST, "/draft/a", "key-1", id, "");
       start_call (fixture, &calls[i], sep_caller_address (fixture->daemon),
                   requests[i], strlen (requests[i]));
     }
@@ -656,40 +667,42 @@
     {
       await_call (fixture, &calls[i]);
       g_snprintf (id, sizeof id, "dies-%u", i);
-      GString *want = whole_stream (id);
-      if (!calls[i].complete || strcmp (calls[i].body->str, want->str) != 0
+      GString *expected = expected_stream (id);
+      if (!calls[i].complete || strcmp (calls[i].body->str, expected->str) != 0
           || sfl_runs (fixture->fleet, id) > 2)
         {
           fail_msg ("%s: status %u, complete %d, %u runs, '%s'", id,
                     calls[i].status, calls[i].complete,
                     sfl_runs (fixture->fleet, id), calls[i].body->str);
         }
-      g_string_free (want, TRUE);
+      g_string_free (expected, TRUE);
       clear_call (&calls[i]);
       g_free (requests[i]);
     }
   assert_null (sfl_violation (fixture->fleet));
 }
 
-/* A stop cuts nothing: what is under way ends, what comes while the balancer
-   doesn't know yet is served, and then the process ends by itself.  */
+/* A graceful stop aborts no request: requests in progress are finished, those
+   that arrive before the load balancer has noticed the stop are served, and
+   then the process exits.  */
 static void
-test_stop (void **state)
+test_graceful_stop (void **state)
 {
   struct fixture *fixture = *state;
   struct call stream;
-  GString *want = whole_stream ("stops");
-  char *request = build ("POST", FLEET_HOST, "/draft/a", "key-1", "stops", "");
+  GString *expected = expected_stream ("stops");
+  char *request
+      = build_request ("POST", FLEET_HOST, "/draft/a", "key-1", "stops", "");
   start_call (fixture, &stream, sep_caller_address (fixture->daemon), request,
               strlen (request));
   run_for (fixture, 50 * CLK_MS_US);
   sep_signal (fixture->daemon, SIGTERM);
   run_for (fixture, 50 * CLK_MS_US);
   assert_int_equal (probe (fixture), 503);
-  assert_int_equal (book (fixture, "key-1"), 200);
+  assert_int_equal (send_booking (fixture, "key-1"), 200);
   await_call (fixture, &stream);
   assert_true (stream.complete);
-  assert_string_equal (stream.body->str, want->str);
+  assert_string_equal (stream.body->str, expected->str);
   int status = -1;
   int64_t end_us = clk_monotonic_us () + STOP_S * CLK_S_US;
   while (!sep_has_ended (fixture->daemon, &status)
@@ -700,7 +713,7 @@
   assert_true (WIFEXITED (status));
   assert_int_equal (WEXITSTATUS (status), 0);
   clear_call (&stream);
-  g_string_free (want, TRUE);
+  g_string_free (expected, TRUE);
   g_free (request);
 }
 
@@ -710,12 +723,12 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_requests),
     cmocka_unit_test (test_without_length),
-    cmocka_unit_test (test_callers_limits),
-    cmocka_unit_test (test_caller_leaves),
-    cmocka_unit_test (test_configurations),
-    cmocka_unit_test (test_leaving),
+    cmocka_unit_test (test_rejected_requests),
+    cmocka_unit_test (test_caller_disconnects),
+    cmocka_unit_test (test_configuration_changes),
+    cmocka_unit_test (test_leaving_endpoint),
     cmocka_unit_test (test_engine_dies),
-    cmocka_unit_test (test_stop),
+    cmocka_unit_test (test_graceful_stop),
   };
   return cmocka_run_group_tests (tests, set_up, tear_down);
 }
--- a/test/platform_test.c
+++ b/test/platform_test.c
@@ -1,3 +1,4 @@
+/* Tests of the decoding of the platform's messages. */
 #include "platform/configuration.h"
 #include "platform/runner.h"
 #include "platform/store.h"
@@ -44,7 +45,7 @@
   assert_int_equal (config->routes[0].repeat, FLT_REPEAT_STREAM);
   assert_int_equal (config->routes[1].repeat, FLT_REPEAT_NEVER);
   assert_int_equal (config->routes[2].repeat, FLT_REPEAT_FREELY);
-  /* What isn't known may not be repeated. */
+  /* Requests of an unknown kind may not be retried. */
   assert_int_equal (config->routes[3].repeat, FLT_REPEAT_NEVER);
   assert_int_equal (config->routes[3].split_count, 0);
   assert_int_equal (config->routes[0].target_gap_us, 200000);
@@ -67,7 +68,7 @@
   {
     const char *host;
     const char *path;
-    const char *want;
+    const char *expected;
   } rows[] = {
     { "a.example", "/x/1", "r-1" }, { "a.example", "/x/y/1", "r-2" },
     { "a.example", "/x/y", "r-1" }, { "b.example", "/x/y/1", "r-3" },
@@ -80,13 +81,13 @@
     {
       const struct flt_route *route
           = flt_find_route (config, rows[i].host, rows[i].path);
-      assert_int_equal (route != NULL, rows[i].want != NULL);
+      assert_int_equal (route != NULL, rows[i].expected != NULL);
       if (route != NULL)
         {
-          assert_string_equal (route->name, rows[i].want);
+          assert_string_equal (route->name, rows[i].expected);
         }
     }
-  /* A split sends by weight. */
+  /* A split divides the requests by weight. */
   uint32_t draft = 0;
   for (uint32_t draw = 0; draw < 1000; draw++)
     {
@@ -98,7 +99,7 @@
 }
 
 static void
-test_configuration_refused (void **state)
+test_configuration_invalid (void **state)
 {
   (void)state;
   static const char *const rows[] = {
@@ -121,7 +122,7 @@
   "\"Service\":\"draft\",\"Address\":\"10.0.0.1:80\",\"Zone\":\"kgn\""
 
 static void
-test_entries (void **state)
+test_endpoint_entries (void **state)
 {
   (void)state;
   static const struct
@@ -189,7 +190,7 @@
   static const struct
   {
     const char *text;
-    int32_t want; /* stalls; -1: no report */
+    int32_t expected; /* number of stalls; -1: invalid */
   } rows[] = {
     { "{\"Stalled\":[]}", 0 },
     { "{}", 0 },
@@ -203,7 +204,7 @@
       GPtrArray *stalls
           = pfr_decode_stalls (rows[i].text, strlen (rows[i].text), &error);
       assert_int_equal (stalls == NULL ? -1 : (int32_t)stalls->len,
-                        rows[i].want);
+                        rows[i].expected);
       if (stalls != NULL)
         {
           g_ptr_array_free (stalls, TRUE);
@@ -211,7 +212,8 @@
     }
 }
 
-/* Two records, the second a removal, from offset 840 of 842.  */
+/* A page from offset 840 up to 842 with two records; the second is a
+   removal.  */
 static const char read_body[] = "\0\0\0\0\0\0\3\112\0\0\0\0\0\0\0\3"
                                 "\0\0\0\4\1kab"
                                 "\0\0\0\2\1q";
@@ -239,9 +241,10 @@
   pfs_clear_page (&page);
 }
 
-/* A page that is cut off anywhere within a record is refused.  */
+/* A truncated page is rejected unless it ends between two records.  A length
+   that is cut off counts as not there yet.  */
 static void
-test_read_page_cut (void **state)
+test_read_page_truncated (void **state)
 {
   (void)state;
   for (size_t bytes = 0; bytes < sizeof read_body - 1; bytes++)
@@ -314,11 +317,11 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_configuration),
     cmocka_unit_test (test_routes),
-    cmocka_unit_test (test_configuration_refused),
-    cmocka_unit_test (test_entries),
+    cmocka_unit_test (test_configuration_invalid),
+    cmocka_unit_test (test_endpoint_entries),
     cmocka_unit_test (test_stalls),
     cmocka_unit_test (test_read_page),
-    cmocka_unit_test (test_read_page_cut),
+    cmocka_unit_test (test_read_page_truncated),
     cmocka_unit_test (test_newest_page),
     cmocka_unit_test (test_join),
   };
