--- a/src/entry/exchange.c
+++ b/src/entry/exchange.c
@@ -133,10 +133,10 @@
   exg_finish (exchange, status, why);
 }
 
-/* Delivers the buffered answer of the endpoint and ends EXCHANGE.  The answer
-   gets a length only if it arrived with one or in chunks: otherwise the end of
-   the connection to the endpoint doesn't prove that it is complete, and the
-   caller's connection ends it too.  */
+/* Delivers the buffered answer of the endpoint and ends EXCHANGE.  An answer
+   that only the end of its connection ended may have been cut off, so it is
+   delivered without a length too, and the end of the caller's connection ends
+   it.  */
 void
 exg_deliver_buffered (struct exchange *exchange)
 {
@@ -185,8 +185,7 @@
   return names[end];
 }
 
-/* Ends EXCHANGE as VERDICT says, after an attempt that ended by END and isn't
-   retried.  */
+/* Ends EXCHANGE as VERDICT says.  END is how its last attempt ended.  */
 static void
 end_without_retry (struct exchange *exchange,
                    const struct att_verdict *verdict, enum att_end end)
@@ -234,7 +233,7 @@
                         : flt_find_service (config, exchange->service);
 }
 
-/* Ends the current attempt, which ended by END: retries the request, resumes
+/* Handles the end of the current attempt, END: retries the request, resumes
    the stream or answers the caller.  A retry that the budget denies is not
    made.  */
 void
--- a/src/entry/exchange_private.h
+++ b/src/entry/exchange_private.h
@@ -39,8 +39,8 @@
   int64_t last_received_us; /* when the newest bytes of the answer arrived */
   bool not_executed; /* the endpoint states that it didn't run the request */
   bool is_stream;
-  bool ends_with_connection; /* the answer has neither a length nor chunks, so
-                                a cut one can't be told from a complete one */
+  bool ends_with_connection; /* neither a length nor chunks mark the end of the
+                                answer, so a cut one looks complete */
   char *failed_address; /* address of the failed engine as the endpoint stated
                            it, or NULL */
   GString *answer_head; /* headers for the caller */
--- a/src/entry/fleet_control.c
+++ b/src/entry/fleet_control.c
@@ -65,7 +65,7 @@
   struct plc_placer *placer;
   struct flt_config *config; /* in force; NULL before the first */
   struct rst *roster;        /* the endpoint list */
-  struct fvw_view *view;     /* the last one published */
+  struct fvw_view *view;     /* newest that was published */
   bool view_outdated;        /* there are changes since then */
 };
 
@@ -420,7 +420,7 @@
   control->relay = rly_create (&control->loop, settings->relay_address, error);
   if (control->relay == NULL)
     {
-      return NULL; /* the process ends */
+      return NULL; /* no clean-up: the process exits */
     }
   list_relays (control);
   join_group (control);
--- a/src/entry/group.h
+++ b/src/entry/group.h
@@ -14,7 +14,7 @@
 {
   struct ncl_client *client;
   uv_loop_t *loop;
-  const char *address; /* of the store */
+  const char *address; /* address of the store */
   const char *member;  /* of this daemon; unique for each start */
   uint32_t partitions; /* number of partitions of each topic of the store */
 };
--- a/src/entry/placing.h
+++ b/src/entry/placing.h
@@ -15,7 +15,7 @@
   struct ncl_client *client;
   uv_loop_t *loop;
   struct grp_group *group;
-  struct vdt_verdicts *verdicts; /* of this daemon's own requests */
+  struct vdt_verdicts *verdicts; /* from this daemon's own requests */
 };
 
 struct plc_placer *plc_create (const struct plc_params *params);
--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -24,6 +24,7 @@
 #define UNSENT_BYTES_MAX 1048576
 #define SILENCE_MS 3000
 #define CONNECTIONS_MAX 1024
+
 /* Interval at which time-outs are checked. */
 #define SWEEP_MS 500
 
--- a/src/entry/topic.h
+++ b/src/entry/topic.h
@@ -26,7 +26,7 @@
 {
   struct ncl_client *client;
   uv_loop_t *loop;
-  const char *address; /* of the store */
+  const char *address; /* address of the store */
   const char *topic;
   const char *const *relays; /* addresses of other daemons' relays,
                                 NULL-terminated; not copied */
--- a/src/entry/traffic.c
+++ b/src/entry/traffic.c
@@ -269,7 +269,7 @@
   traffic->client = ncl_create (loop, &client_params);
   if (!open_servers (traffic, error))
     {
-      return NULL; /* the process ends */
+      return NULL; /* no clean-up: the process exits */
     }
   uv_async_init (loop, &traffic->view_changed, on_view_changed);
   traffic->view_changed.data = traffic;
