--- a/src/core/assign.c
+++ b/src/core/assign.c
@@ -4,11 +4,13 @@
 
 #include <glib.h>
 
+/* Iterations of Newton's method in as_evaluate. */
 #define NEWTON_STEPS_MAX 64
-#define RELATIVE_ZERO 1e-7
+/* Relative difference below which two rates count as equal. */
+#define RELATIVE_TOLERANCE 1e-7
 
-/* Creates an assignment in which no engine holds anything.  PROBLEM must stay
-   valid as long as it lives.  */
+/* Returns a new assignment in which no engine holds a segment.  PROBLEM must
+   outlive the assignment; the caller frees it with as_destroy.  */
 struct as_assignment *
 as_create (const struct as_problem *problem)
 {
@@ -18,12 +20,12 @@
   assignment->problem = problem;
   assignment->holds = g_new0 (bool, (gsize)engines *segments);
   assignment->free_mib = g_new0 (uint32_t, engines);
-  assignment->held = g_new0 (uint32_t, engines);
-  assignment->holders = g_new0 (uint32_t, segments);
-  assignment->homes
+  assignment->segment_counts = g_new0 (uint32_t, engines);
+  assignment->holder_counts = g_new0 (uint32_t, segments);
+  assignment->local_holders
       = g_new0 (uint32_t, (gsize)segments * problem->data_centre_count);
   assignment->limiting = g_new0 (bool, segments);
-  assignment->used = g_new0 (double, engines);
+  assignment->used_rates = g_new0 (double, engines);
   for (uint32_t i = 0; i < engines; i++)
     {
       assignment->free_mib[i] = problem->engines[i].memory_mib;
@@ -31,7 +33,7 @@
   return assignment;
 }
 
-/* Frees ASSIGNMENT; NULL is allowed.  */
+/* Frees ASSIGNMENT, which may be NULL.  */
 void
 as_destroy (struct as_assignment *assignment)
 {
@@ -41,29 +43,31 @@
     }
   g_free (assignment->holds);
   g_free (assignment->free_mib);
-  g_free (assignment->held);
-  g_free (assignment->holders);
-  g_free (assignment->homes);
+  g_free (assignment->segment_counts);
+  g_free (assignment->holder_counts);
+  g_free (assignment->local_holders);
   g_free (assignment->limiting);
-  g_free (assignment->used);
+  g_free (assignment->used_rates);
   g_free (assignment);
 }
 
 static gsize
-cell (const struct as_assignment *assignment, uint32_t engine,
-      uint32_t segment)
+holds_index (const struct as_assignment *assignment, uint32_t engine,
+             uint32_t segment)
 {
   return (gsize)engine * assignment->problem->segment_count + segment;
 }
 
-/* Returns the count of holders of SEGMENT in ENGINE's data centre.  */
+/* Returns a pointer to the number of engines in ENGINE's data centre that hold
+   SEGMENT.  */
 uint32_t *
-as_home (const struct as_assignment *assignment, uint32_t engine,
-         uint32_t segment)
+as_local_holders (const struct as_assignment *assignment, uint32_t engine,
+                  uint32_t segment)
 {
   const struct as_problem *problem = assignment->problem;
   gsize row = (gsize)segment * problem->data_centre_count;
-  return &assignment->homes[row + problem->engines[engine].data_centre];
+  return &assignment
+              ->local_holders[row + problem->engines[engine].data_centre];
 }
 
 /* Returns whether ENGINE holds SEGMENT.  */
@@ -71,46 +75,48 @@
 as_holds (const struct as_assignment *assignment, uint32_t engine,
           uint32_t segment)
 {
-  return assignment->holds[cell (assignment, engine, segment)];
+  return assignment->holds[holds_index (assignment, engine, segment)];
 }
 
-/* Returns whether ENGINE has room for SEGMENT and does not hold it.  */
+/* Returns whether ENGINE can hold SEGMENT in addition: it does not hold
+   SEGMENT yet, has the memory, and is below `segments_max'.  */
 bool
 as_fits (const struct as_assignment *assignment, uint32_t engine,
          uint32_t segment)
 {
   const struct as_problem *problem = assignment->problem;
   return !as_holds (assignment, engine, segment)
-         && assignment->held[engine] < problem->segments_max
+         && assignment->segment_counts[engine] < problem->segments_max
          && assignment->free_mib[engine]
                 >= problem->segments[segment].memory_mib;
 }
 
-/* Has ENGINE hold SEGMENT, for which there must be room.  */
+/* Adds ENGINE to the holders of SEGMENT.  as_fits must be true for them.  */
 void
 as_add (struct as_assignment *assignment, uint32_t engine, uint32_t segment)
 {
-  assignment->holds[cell (assignment, engine, segment)] = true;
+  assignment->holds[holds_index (assignment, engine, segment)] = true;
   assignment->free_mib[engine]
       -= assignment->problem->segments[segment].memory_mib;
-  assignment->held[engine]++;
-  assignment->holders[segment]++;
-  ++*as_home (assignment, engine, segment);
+  assignment->segment_counts[engine]++;
+  assignment->holder_counts[segment]++;
+  ++*as_local_holders (assignment, engine, segment);
 }
 
-/* Undoes as_add.  */
+/* Removes ENGINE from the holders of SEGMENT, which must be one.  */
 void
 as_remove (struct as_assignment *assignment, uint32_t engine, uint32_t segment)
 {
-  assignment->holds[cell (assignment, engine, segment)] = false;
+  assignment->holds[holds_index (assignment, engine, segment)] = false;
   assignment->free_mib[engine]
       += assignment->problem->segments[segment].memory_mib;
-  assignment->held[engine]--;
-  assignment->holders[segment]--;
-  --*as_home (assignment, engine, segment);
+  assignment->segment_counts[engine]--;
+  assignment->holder_counts[segment]--;
+  --*as_local_holders (assignment, engine, segment);
 }
 
-/* Returns a copy of what is held; the caller evaluates it.  */
+/* Returns a new assignment with the same holders as ASSIGNMENT.  Its rate and
+   bottleneck are not set until the caller evaluates it.  */
 struct as_assignment *
 as_copy (const struct as_assignment *assignment)
 {
@@ -129,15 +135,16 @@
   return copy;
 }
 
-/* Returns how many data centres hold SEGMENT.  */
+/* Returns the number of data centres in which an engine holds SEGMENT.  */
 uint32_t
-as_data_centres (const struct as_assignment *assignment, uint32_t segment)
+as_count_data_centres (const struct as_assignment *assignment,
+                       uint32_t segment)
 {
   uint32_t all = assignment->problem->data_centre_count;
   uint32_t count = 0;
   for (uint32_t i = 0; i < all; i++)
     {
-      if (assignment->homes[(gsize)segment * all + i] > 0)
+      if (assignment->local_holders[(gsize)segment * all + i] > 0)
         {
           count++;
         }
@@ -145,14 +152,14 @@
   return count;
 }
 
-/* Returns the number of segments held by fewer engines than asked for.  */
+/* Returns the number of segments with fewer than `replicas_min' holders.  */
 uint32_t
-as_uncovered (const struct as_assignment *assignment)
+as_count_under_replicated (const struct as_assignment *assignment)
 {
   uint32_t count = 0;
   for (uint32_t j = 0; j < assignment->problem->segment_count; j++)
     {
-      if (assignment->holders[j] < assignment->problem->copies)
+      if (assignment->holder_counts[j] < assignment->problem->replicas_min)
         {
           count++;
         }
@@ -160,11 +167,12 @@
   return count;
 }
 
-/* Returns the rate that no assignment can exceed: all engines' rates together
-   over the work of one token of each model by its share.  An engine without
-   memory for the smallest segment does not count.  */
+/* Returns the rate, in tokens per second, that no assignment can exceed: the
+   sum of all engines' rates divided by the sum of all segments' demands.
+   Leaves out engines that lack the memory for the smallest segment.  Returns 0
+   when there is no demand.  */
 double
-as_compute_only (const struct as_problem *problem)
+as_compute_only_bound (const struct as_problem *problem)
 {
   uint32_t smallest_mib = UINT32_MAX;
   double demand = 0.0;
@@ -184,33 +192,38 @@
   return demand > 0.0 ? rate / demand : 0.0;
 }
 
-/* The network: source, engines, segments, sink. */
-struct shares
+/* Flow network with the nodes: source, engines, segments, sink.  The flow from
+   an engine to a segment is the part of the engine's rate that the segment
+   gets, in layer-tokens per second. */
+struct rate_network
 {
-  struct fl_network *network;
+  struct fl_network *flow;
   uint32_t *demand_edges; /* by segment */
   uint32_t *rate_edges;   /* by engine */
 };
 
+/* Builds the network of ASSIGNMENT.  The edges from the segments to the sink
+   have capacity 0 until as_evaluate sets it.  */
 static void
-build_shares (const struct as_assignment *assignment, struct shares *shares)
+build_network (const struct as_assignment *assignment,
+               struct rate_network *network)
 {
   const struct as_problem *problem = assignment->problem;
   uint32_t engines = problem->engine_count;
   uint32_t segments = problem->segment_count;
   uint32_t sink = engines + segments + 1;
-  shares->network = fl_create (sink + 1);
-  shares->rate_edges = g_new (uint32_t, engines);
-  shares->demand_edges = g_new (uint32_t, segments);
+  network->flow = fl_create (sink + 1);
+  network->rate_edges = g_new (uint32_t, engines);
+  network->demand_edges = g_new (uint32_t, segments);
   for (uint32_t i = 0; i < engines; i++)
     {
-      shares->rate_edges[i]
-          = fl_add_edge (shares->network, 0, 1 + i, problem->engines[i].rate);
+      network->rate_edges[i]
+          = fl_add_edge (network->flow, 0, 1 + i, problem->engines[i].rate);
     }
   for (uint32_t j = 0; j < segments; j++)
     {
-      shares->demand_edges[j]
-          = fl_add_edge (shares->network, 1 + engines + j, sink, 0.0);
+      network->demand_edges[j]
+          = fl_add_edge (network->flow, 1 + engines + j, sink, 0.0);
     }
   for (uint32_t i = 0; i < engines; i++)
     {
@@ -218,25 +231,27 @@
         {
           if (as_holds (assignment, i, j))
             {
-              fl_add_edge (shares->network, 1 + i, 1 + engines + j,
+              fl_add_edge (network->flow, 1 + i, 1 + engines + j,
                            problem->engines[i].rate);
             }
         }
     }
 }
 
-/* Returns the rate that the minimum cut allows, and marks the segments beyond
-   it.  All of their holders work for them alone.  */
+/* Returns the rate, in tokens per second, that the minimum cut allows.  Marks
+   the segments on its sink side as limiting: together they use the whole rate
+   of every engine that holds one of them.  */
 static double
-rate_of_cut (struct as_assignment *assignment, const struct shares *shares)
+rate_of_min_cut (struct as_assignment *assignment,
+                 const struct rate_network *network)
 {
   const struct as_problem *problem = assignment->problem;
   double rate = 0.0;
   double demand = 0.0;
-  double all = 0.0;
+  double total_demand = 0.0;
   for (uint32_t i = 0; i < problem->engine_count; i++)
     {
-      if (!fl_reached (shares->network, 1 + i))
+      if (!fl_reached (network->flow, 1 + i))
         {
           rate += problem->engines[i].rate;
         }
@@ -244,29 +259,33 @@
   for (uint32_t j = 0; j < problem->segment_count; j++)
     {
       uint32_t node = 1 + problem->engine_count + j;
-      assignment->limiting[j] = !fl_reached (shares->network, node);
-      all += problem->segments[j].demand;
+      assignment->limiting[j] = !fl_reached (network->flow, node);
+      total_demand += problem->segments[j].demand;
       if (assignment->limiting[j])
         {
           demand += problem->segments[j].demand;
         }
     }
-  assignment->limiting_share = all > 0.0 ? demand / all : 0.0;
+  assignment->limiting_share
+      = total_demand > 0.0 ? demand / total_demand : 0.0;
   return demand > 0.0 ? rate / demand : 0.0;
 }
 
-/* Computes the largest rate at which every segment can be run when each engine
-   divides its own rate among what it holds, the bottleneck and each engine's
-   use.  The rate starts from the compute-only bound and comes down to what the
-   minimum cut allows until all demand is met (Newton's method on the cut).  */
+/* Computes the highest token rate that all segments sustain when each engine
+   divides its rate freely among the segments that it holds.  Also sets which
+   segments are the bottleneck and how much of its rate each engine uses.
+
+   The rate starts from the compute-only bound and is lowered to what the
+   minimum cut allows until the maximum flow meets all demand (Newton's method
+   on the parametric cut).  */
 void
 as_evaluate (struct as_assignment *assignment)
 {
   const struct as_problem *problem = assignment->problem;
-  struct shares shares;
-  build_shares (assignment, &shares);
+  struct rate_network network;
+  build_network (assignment, &network);
   uint32_t sink = problem->engine_count + problem->segment_count + 1;
-  double rate = as_compute_only (problem);
+  double rate = as_compute_only_bound (problem);
   double demand = 0.0;
   for (uint32_t j = 0; j < problem->segment_count; j++)
     {
@@ -278,49 +297,51 @@
     {
       for (uint32_t j = 0; j < problem->segment_count; j++)
         {
-          fl_set_capacity (shares.network, shares.demand_edges[j],
+          fl_set_capacity (network.flow, network.demand_edges[j],
                            rate * problem->segments[j].demand);
         }
-      double flow = fl_maximum (shares.network, 0, sink);
-      if (flow >= rate * demand * (1.0 - RELATIVE_ZERO))
+      double flow = fl_maximum (network.flow, 0, sink);
+      if (flow >= rate * demand * (1.0 - RELATIVE_TOLERANCE))
         {
           break;
         }
-      rate = rate_of_cut (assignment, &shares);
+      rate = rate_of_min_cut (assignment, &network);
     }
   assignment->tokens_per_s = rate;
   for (uint32_t i = 0; i < problem->engine_count; i++)
     {
-      assignment->used[i]
-          = rate > 0.0 ? fl_flow (shares.network, shares.rate_edges[i]) : 0.0;
+      assignment->used_rates[i]
+          = rate > 0.0 ? fl_flow (network.flow, network.rate_edges[i]) : 0.0;
     }
-  fl_destroy (shares.network);
-  g_free (shares.rate_edges);
-  g_free (shares.demand_edges);
+  fl_destroy (network.flow);
+  g_free (network.rate_edges);
+  g_free (network.demand_edges);
 }
 
-/* Returns whether SEGMENT is held often enough, and in enough data centres,
-   without ENGINE.  */
+/* Returns whether ENGINE holds SEGMENT and can drop it: enough other engines,
+   in enough data centres, hold it as well.  */
 bool
-as_can_spare (const struct as_assignment *assignment, uint32_t engine,
-              uint32_t segment)
+as_can_drop (const struct as_assignment *assignment, uint32_t engine,
+             uint32_t segment)
 {
   const struct as_problem *problem = assignment->problem;
   if (!as_holds (assignment, engine, segment)
-      || assignment->holders[segment] <= problem->copies)
+      || assignment->holder_counts[segment] <= problem->replicas_min)
     {
       return false;
     }
-  bool last = *as_home (assignment, engine, segment) == 1;
-  return !last
-         || as_data_centres (assignment, segment) > problem->data_centres;
+  bool is_last_there = *as_local_holders (assignment, engine, segment) == 1;
+  return !is_last_there
+         || as_count_data_centres (assignment, segment)
+                > problem->data_centres_min;
 }
 
-/* Returns a segment that ENGINE can give up so that SEGMENT fits, or
-   UINT32_MAX.  The one with most holders goes first.  */
+/* Returns the segment that ENGINE can drop to make SEGMENT fit; of several,
+   the one with the most holders.  Returns UINT32_MAX when there is none or
+   ENGINE holds SEGMENT already.  */
 uint32_t
-as_replaceable (const struct as_assignment *assignment, uint32_t engine,
-                uint32_t segment)
+as_find_droppable (const struct as_assignment *assignment, uint32_t engine,
+                   uint32_t segment)
 {
   const struct as_problem *problem = assignment->problem;
   uint32_t best = UINT32_MAX;
@@ -330,12 +351,13 @@
     }
   for (uint32_t j = 0; j < problem->segment_count; j++)
     {
-      uint32_t room
+      uint32_t available_mib
           = assignment->free_mib[engine] + problem->segments[j].memory_mib;
-      if (as_can_spare (assignment, engine, j)
-          && room >= problem->segments[segment].memory_mib
+      if (as_can_drop (assignment, engine, j)
+          && available_mib >= problem->segments[segment].memory_mib
           && (best == UINT32_MAX
-              || assignment->holders[j] > assignment->holders[best]))
+              || assignment->holder_counts[j]
+                     > assignment->holder_counts[best]))
         {
           best = j;
         }
@@ -343,35 +365,39 @@
   return best;
 }
 
-/* Returns whether ENGINE can hold GAINED in place of GIVEN.  */
+/* Returns whether ENGINE can hold ADDED in place of DROPPED: it holds DROPPED
+   but not ADDED, and has the memory.  */
 bool
 as_can_replace (const struct as_assignment *assignment, uint32_t engine,
-                uint32_t given, uint32_t gained)
+                uint32_t dropped, uint32_t added)
 {
   const struct as_segment *segments = assignment->problem->segments;
-  return as_holds (assignment, engine, given)
-         && !as_holds (assignment, engine, gained)
-         && assignment->free_mib[engine] + segments[given].memory_mib
-                >= segments[gained].memory_mib;
+  return as_holds (assignment, engine, dropped)
+         && !as_holds (assignment, engine, added)
+         && assignment->free_mib[engine] + segments[dropped].memory_mib
+                >= segments[added].memory_mib;
 }
 
-/* Has engines A and B exchange segment OF_A, which only A holds, for OF_B,
-   which only B holds.  The same call with the engines exchanged undoes it.  */
+/* Moves SEGMENT_A from engine A to engine B, and SEGMENT_B from B to A.  Of
+   the two engines, only A may hold SEGMENT_A and only B may hold SEGMENT_B. To
+   undo the swap, exchange A and B and leave the segments in their order.  */
 void
-as_exchange (struct as_assignment *assignment, uint32_t a, uint32_t of_a,
-             uint32_t b, uint32_t of_b)
+as_swap (struct as_assignment *assignment, uint32_t a, uint32_t segment_a,
+         uint32_t b, uint32_t segment_b)
 {
-  as_remove (assignment, a, of_a);
-  as_remove (assignment, b, of_b);
-  as_add (assignment, a, of_b);
-  as_add (assignment, b, of_a);
+  as_remove (assignment, a, segment_a);
+  as_remove (assignment, b, segment_b);
+  as_add (assignment, a, segment_b);
+  as_add (assignment, b, segment_a);
 }
 
+/* Returns how many more data centres must hold SEGMENT to reach
+   `data_centres_min'.  */
 uint32_t
-as_data_centres_short (const struct as_assignment *assignment,
-                       uint32_t segment)
+as_count_missing_data_centres (const struct as_assignment *assignment,
+                               uint32_t segment)
 {
-  uint32_t count = as_data_centres (assignment, segment);
-  uint32_t wanted = assignment->problem->data_centres;
-  return count < wanted ? wanted - count : 0;
+  uint32_t count = as_count_data_centres (assignment, segment);
+  uint32_t required = assignment->problem->data_centres_min;
+  return count < required ? required - count : 0;
 }
--- a/src/core/bound.c
+++ b/src/core/bound.c
@@ -15,14 +15,14 @@
   struct as_assignment *assignment = pb_to_assignment (problem, placement);
   as_evaluate (assignment);
   bound->tokens_per_s = assignment->tokens_per_s;
-  bound->uncovered = as_uncovered (assignment);
+  bound->uncovered = as_count_under_replicated (assignment);
   uint32_t fewest = UINT32_MAX;
-  for (uint32_t i = 0; i < problem->as.segment_count; i++)
+  for (uint32_t i = 0; i < problem->as_problem.segment_count; i++)
     {
-      if (assignment->limiting[i] && assignment->holders[i] < fewest)
+      if (assignment->limiting[i] && assignment->holder_counts[i] < fewest)
         {
           const struct pb_segment *segment = pb_segment_at (segments, i);
-          fewest = assignment->holders[i];
+          fewest = assignment->holder_counts[i];
           bound->model = segment->model;
           bound->first = segment->first;
           bound->end = segment->end;
@@ -107,7 +107,7 @@
     {
       return;
     }
-  bound->compute_only_tokens_per_s = pb_compute_only (config, usable);
+  bound->compute_only_tokens_per_s = pb_compute_only_bound (config, usable);
   GArray *segments = pb_segments_of (config, placement);
   if (pb_is_aligned (placement, segments))
     {
@@ -208,13 +208,13 @@
   double tokens_per_s = before->tokens_per_s;
   struct pl_placement *improved = pb_to_placement (config, problem, before);
   as_destroy (before);
-  problem->engines[problem->as.engine_count] = (struct as_engine){
+  problem->engines[problem->as_problem.engine_count] = (struct as_engine){
     .rate = host->layer_tokens_per_s,
     .memory_mib = host->memory_mib,
     .data_centre = host->data_centre,
   };
-  problem->hosts[problem->as.engine_count] = UINT32_MAX;
-  problem->as.engine_count++;
+  problem->hosts[problem->as_problem.engine_count] = UINT32_MAX;
+  problem->as_problem.engine_count++;
   struct as_assignment *after = pb_to_assignment (problem, improved);
   as_fill (after, true);
   as_improve (after, 0.0);
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -78,7 +78,7 @@
   return (struct trial){
     .placement = pb_to_placement (config, problem, assignment),
     .tokens_per_s = assignment->tokens_per_s,
-    .uncovered = as_uncovered (assignment),
+    .uncovered = as_count_under_replicated (assignment),
   };
 }
 
@@ -97,18 +97,18 @@
 try_division (const struct cfg_config *config,
               const struct pb_problem *problem, bool cover_first)
 {
-  struct as_assignment *assignment = as_create (&problem->as);
+  struct as_assignment *assignment = as_create (&problem->as_problem);
   if (cover_first)
     {
-      as_cover (assignment);
+      as_replicate (assignment);
     }
   as_fill (assignment, false);
-  as_cover (assignment);
+  as_replicate (assignment);
   as_improve (assignment, 0.0);
   if (cover_first)
     {
       struct as_assignment *annealed
-          = as_anneal (assignment, anneal_steps (&problem->as));
+          = as_anneal (assignment, anneal_steps (&problem->as_problem));
       as_destroy (assignment);
       assignment = annealed;
       as_improve (assignment, 0.0);
@@ -150,7 +150,7 @@
 plan_afresh (const struct cfg_config *config, const bool *usable)
 {
   struct trial best = { .placement = NULL };
-  double compute_only = pb_compute_only (config, usable);
+  double compute_only = pb_compute_only_bound (config, usable);
   GPtrArray *divisions = dv_list (config, usable);
   for (uint32_t i = 0; i < divisions->len; i++)
     {
@@ -180,7 +180,7 @@
   struct pb_problem *problem = pb_create (config, usable, segments);
   struct as_assignment *assignment = pb_to_assignment (problem, current);
   as_fill (assignment, true);
-  as_cover (assignment);
+  as_replicate (assignment);
   as_improve (assignment, LEAST_GAIN_OF_MOVE);
   trial = to_trial (config, problem, assignment);
   as_destroy (assignment);
--- a/src/core/problem.c
+++ b/src/core/problem.c
@@ -49,8 +49,8 @@
       problem->hosts[count] = i;
       count++;
     }
-  problem->as.engines = problem->engines;
-  problem->as.engine_count = count;
+  problem->as_problem.engines = problem->engines;
+  problem->as_problem.engine_count = count;
 }
 
 static void
@@ -73,8 +73,8 @@
         .memory_mib = layers * model->layer_memory_mib,
       };
     }
-  problem->as.segments = problem->as_segments;
-  problem->as.segment_count = count;
+  problem->as_problem.segments = problem->as_segments;
+  problem->as_problem.segment_count = count;
 }
 
 /* Creates the problem of SEGMENTS, which it takes over.  */
@@ -86,11 +86,11 @@
   problem->segments = segments;
   fill_engines (config, usable, problem);
   fill_segments (config, problem);
-  problem->as.data_centre_count = MAX (config->data_centre_count, 1);
-  problem->as.copies = 1 + config->rules.spare_hosts;
-  problem->as.data_centres
+  problem->as_problem.data_centre_count = MAX (config->data_centre_count, 1);
+  problem->as_problem.replicas_min = 1 + config->rules.spare_hosts;
+  problem->as_problem.data_centres_min
       = MIN (config->data_centre_count, DATA_CENTRES_WANTED);
-  problem->as.segments_max = SNAP_RANGES_MAX;
+  problem->as_problem.segments_max = SNAP_RANGES_MAX;
   return problem;
 }
 
@@ -195,8 +195,8 @@
 pb_to_assignment (const struct pb_problem *problem,
                   const struct pl_placement *placement)
 {
-  struct as_assignment *assignment = as_create (&problem->as);
-  for (uint32_t i = 0; i < problem->as.engine_count; i++)
+  struct as_assignment *assignment = as_create (&problem->as_problem);
+  for (uint32_t i = 0; i < problem->as_problem.engine_count; i++)
     {
       if (problem->hosts[i] >= placement->host_count)
         {
@@ -223,10 +223,10 @@
                  const struct as_assignment *assignment)
 {
   struct pl_placement *placement = pl_create (config->host_count);
-  for (uint32_t i = 0; i < problem->as.engine_count; i++)
+  for (uint32_t i = 0; i < problem->as_problem.engine_count; i++)
     {
       struct pl_host *host = &placement->hosts[problem->hosts[i]];
-      for (uint32_t j = 0; j < problem->as.segment_count; j++)
+      for (uint32_t j = 0; j < problem->as_problem.segment_count; j++)
         {
           if (!as_holds (assignment, i, j))
             {
@@ -247,7 +247,7 @@
 /* Returns the token rate of all models that no placement can exceed: the rates
    of all usable engines over the layers of one token, by demand.  */
 double
-pb_compute_only (const struct cfg_config *config, const bool *usable)
+pb_compute_only_bound (const struct cfg_config *config, const bool *usable)
 {
   double demand = 0.0;
   double weights = 0.0;
--- a/src/core/problem.h
+++ b/src/core/problem.h
@@ -17,7 +17,7 @@
 
 struct pb_problem
 {
-  struct as_problem as;
+  struct as_problem as_problem;
   struct as_engine *engines;
   uint32_t *hosts; /* by engine: index in the configuration */
   struct as_segment *as_segments;
@@ -29,7 +29,8 @@
 uint32_t pb_demand_weight (const struct cfg_model *model);
 const struct pb_segment *pb_segment_at (const GArray *segments,
                                         uint32_t index);
-double pb_compute_only (const struct cfg_config *config, const bool *usable);
+double pb_compute_only_bound (const struct cfg_config *config,
+                              const bool *usable);
 GArray *pb_segments_of (const struct cfg_config *config,
                         const struct pl_placement *placement);
 bool pb_is_aligned (const struct pl_placement *placement,
