--- a/src/core/division.c
+++ b/src/core/division.c
@@ -3,105 +3,111 @@
 #include "core/problem.h"
 #include "core/routing.h"
 
-/* Parts into which the memory of one host is divided by trial. */
-#define PARTS_MAX 4
-/* Sizes of memory that are told apart. */
+/* Candidates are made for 1 up to this many segments in each host's memory. */
+#define SEGMENTS_PER_HOST_MAX 4
+/* Limit on the number of memory classes: each class but the last has at least
+   1/CLASSES_MAX of the hosts. */
 #define CLASSES_MAX 6
 
-/* Hosts of one size of memory. */
-struct class
+/* The usable hosts with about the same memory. */
+struct memory_class
 {
-  uint32_t memory_mib;
-  double rate;
+  uint32_t memory_mib; /* of the smallest host */
+  double rate;         /* of all hosts, in layer-tokens per second */
 };
 
 static gint
 compare_classes (gconstpointer left, gconstpointer right)
 {
-  const struct class *a = left;
-  const struct class *b = right;
+  const struct memory_class *a = left;
+  const struct memory_class *b = right;
   return a->memory_mib < b->memory_mib ? -1 : a->memory_mib > b->memory_mib;
 }
 
-/* Lists the classes of usable hosts, least memory first.  Beyond CLASSES_MAX
-   a class is merged into the one before it.  */
+/* Returns the memory classes of the usable hosts, least memory first.  A host
+   with more memory starts a new class only when the current one has at least
+   1/CLASSES_MAX of all hosts; otherwise it joins the current class.  */
 static GArray *
 list_classes (const struct cfg_config *config, const bool *usable)
 {
-  GArray *all = g_array_new (FALSE, FALSE, sizeof (struct class));
+  GArray *all = g_array_new (FALSE, FALSE, sizeof (struct memory_class));
   for (uint32_t i = 0; i < config->host_count; i++)
     {
       const struct cfg_host *host = &config->hosts[i];
-      struct class class = { host->memory_mib, host->layer_tokens_per_s };
+      struct memory_class class = { host->memory_mib,
+                                    host->layer_tokens_per_s };
       if (pb_is_usable (config, usable, i))
         {
           g_array_append_val (all, class);
         }
     }
   g_array_sort (all, compare_classes);
-  GArray *classes = g_array_new (FALSE, FALSE, sizeof (struct class));
-  uint32_t hosts_of_class = 0;
+  GArray *classes = g_array_new (FALSE, FALSE, sizeof (struct memory_class));
+  uint32_t class_host_count = 0;
   for (uint32_t i = 0; i < all->len; i++)
     {
-      const struct class *host = &g_array_index (all, struct class, i);
-      struct class *last
-          = classes->len > 0
-                ? &g_array_index (classes, struct class, classes->len - 1)
-                : NULL;
-      bool many = hosts_of_class * CLASSES_MAX >= all->len;
-      if (last != NULL && (last->memory_mib == host->memory_mib || !many))
+      const struct memory_class *host
+          = &g_array_index (all, struct memory_class, i);
+      struct memory_class *last
+          = classes->len > 0 ? &g_array_index (classes, struct memory_class,
+                                               classes->len - 1)
+                             : NULL;
+      bool is_large = class_host_count * CLASSES_MAX >= all->len;
+      if (last != NULL && (last->memory_mib == host->memory_mib || !is_large))
         {
           last->rate += host->rate;
-          hosts_of_class++;
+          class_host_count++;
           continue;
         }
       g_array_append_val (classes, *host);
-      hosts_of_class = 1;
+      class_host_count = 1;
     }
   g_array_free (all, TRUE);
   return classes;
 }
 
-/* Appends the layers FIRST up to END of MODEL, divided into segments of as
-   even a length as can be that take at most SEGMENT_MIB.  Returns how many, or
-   UINT32_MAX when one layer takes more.  */
+/* Divides the layers from FIRST up to END of MODEL into segments of equal
+   length, give or take one layer, that need at most SEGMENT_MIB each, and
+   appends them to SEGMENTS.  Returns the number of segments, or UINT32_MAX
+   when a single layer needs more memory.  */
 static uint32_t
 divide_layers (const struct cfg_config *config, uint32_t model, uint32_t first,
                uint32_t end, uint32_t segment_mib, GArray *segments)
 {
-  uint32_t longest
+  uint32_t layers_max
       = segment_mib / MAX (config->models[model].layer_memory_mib, 1);
-  if (longest == 0)
+  if (layers_max == 0)
     {
       return UINT32_MAX;
     }
   uint32_t layers = end - first;
-  uint32_t parts = (layers + longest - 1) / longest;
-  for (uint32_t i = 0; i < parts; i++)
+  uint32_t count = (layers + layers_max - 1) / layers_max;
+  for (uint32_t i = 0; i < count; i++)
     {
       struct pb_segment segment = {
         .model = model,
-        .first = first + layers * i / parts,
-        .end = first + layers * (i + 1) / parts,
+        .first = first + layers * i / count,
+        .end = first + layers * (i + 1) / count,
       };
       g_array_append_val (segments, segment);
     }
-  return parts;
+  return count;
 }
 
-/* Divides each model among CLASSES from SMALLEST on: each class gets layers by
-   its rate, in segments that take at most one of PARTS of its memory, so that
-   hosts with little memory hold short segments and others long ones.  A class
-   that cannot hold a layer leaves its share to the next.  Returns NULL when a
-   model takes too many segments.  */
+/* Returns a division of all models among the CLASSES from index SMALLEST on.
+   Each class gets a number of layers in proportion to its rate, in segments
+   that need at most 1/SEGMENTS_PER_HOST of its memory, so that hosts with
+   little memory hold short segments and others long ones.  The layers of a
+   class that lacks the memory for one layer go to the next class.  Returns
+   NULL when a model does not fit or takes more than RT_CHAIN_MAX segments.  */
 static GArray *
 divide_models (const struct cfg_config *config, const GArray *classes,
-               uint32_t smallest, uint32_t parts)
+               uint32_t smallest, uint32_t segments_per_host)
 {
   double rate = 0.0;
   for (uint32_t i = smallest; i < classes->len; i++)
     {
-      rate += g_array_index (classes, struct class, i).rate;
+      rate += g_array_index (classes, struct memory_class, i).rate;
     }
   GArray *segments = g_array_new (FALSE, FALSE, sizeof (struct pb_segment));
   for (uint32_t model = 0; model < config->model_count; model++)
@@ -112,17 +118,16 @@
       double share = 0.0;
       for (uint32_t i = smallest; i < classes->len; i++)
         {
-          const struct class *class = &g_array_index (classes, struct class,
-                                                      i);
+          const struct memory_class *class = &g_array_index (
+              classes, struct memory_class, i);
           share += class->rate / rate;
           uint32_t end = i + 1 == classes->len
                              ? layers
                              : (uint32_t)(layers * share + 0.5);
-          uint32_t added
-              = end > first
-                    ? divide_layers (config, model, first, end,
-                                     class->memory_mib / parts, segments)
-                    : 0;
+          uint32_t added = end > first ? divide_layers (
+                               config, model, first, end,
+                               class->memory_mib / segments_per_host, segments)
+                                       : 0;
           if (added != UINT32_MAX)
             {
               count += added;
@@ -146,8 +151,11 @@
   return a->len < b->len ? -1 : a->len > b->len;
 }
 
-/* Lists the divisions of the models that are worth a trial, fewest segments
-   first: by the memory of each class alone, and by all from that class on.  */
+/* Returns the divisions that are worth a trial, as arrays of struct
+   pb_segment, fewest segments first.  For each memory class and number of
+   segments per host, these are the division by that class alone and the one by
+   that class and all larger ones.  The caller frees the outer array and owns
+   the inner ones.  */
 GPtrArray *
 dv_list (const struct cfg_config *config, const bool *usable)
 {
@@ -155,24 +163,29 @@
   GArray *classes = list_classes (config, usable);
   for (uint32_t i = 0; i < classes->len; i++)
     {
-      GArray *alone = g_array_new (FALSE, FALSE, sizeof (struct class));
-      g_array_append_val (alone, g_array_index (classes, struct class, i));
-      for (uint32_t parts = 1; parts <= PARTS_MAX; parts++)
+      GArray *single
+          = g_array_new (FALSE, FALSE, sizeof (struct memory_class));
+      g_array_append_val (single,
+                          g_array_index (classes, struct memory_class, i));
+      for (uint32_t segments_per_host = 1;
+           segments_per_host <= SEGMENTS_PER_HOST_MAX; segments_per_host++)
         {
-          GArray *even = divide_models (config, alone, 0, parts);
-          GArray *mixed = i + 1 < classes->len
-                              ? divide_models (config, classes, i, parts)
-                              : NULL;
-          if (even != NULL)
+          GArray *uniform
+              = divide_models (config, single, 0, segments_per_host);
+          GArray *mixed
+              = i + 1 < classes->len
+                    ? divide_models (config, classes, i, segments_per_host)
+                    : NULL;
+          if (uniform != NULL)
             {
-              g_ptr_array_add (divisions, even);
+              g_ptr_array_add (divisions, uniform);
             }
           if (mixed != NULL)
             {
               g_ptr_array_add (divisions, mixed);
             }
         }
-      g_array_free (alone, TRUE);
+      g_array_free (single, TRUE);
     }
   g_array_free (classes, TRUE);
   g_ptr_array_sort (divisions, compare_divisions);
--- a/src/core/division.h
+++ b/src/core/division.h
@@ -1,4 +1,5 @@
-/* Divisions of the models into segments, as candidates for placement. */
+/* Candidate divisions of the models into segments, from which the planner of
+   placements chooses one. */
 #ifndef CORE_DIVISION_H
 #define CORE_DIVISION_H
 
--- a/src/core/problem.c
+++ b/src/core/problem.c
@@ -2,9 +2,12 @@
 
 #include <glib.h>
 
-#define DATA_CENTRES_WANTED 2
+/* Data centres that hold each segment where memory allows: with two, any one
+   of them can fail. */
+#define DATA_CENTRES_MIN 2
 
-/* Returns whether HOST is an engine that may be given layers.  */
+/* Returns whether HOST, an index in CONFIG, is an engine that may hold layers:
+   not draining, and marked in USABLE unless that is NULL.  */
 bool
 pb_is_usable (const struct cfg_config *config, const bool *usable,
               uint32_t host)
@@ -13,20 +16,23 @@
          && !config->hosts[host].draining && (usable == NULL || usable[host]);
 }
 
-/* Returns the model's share of the fleet; a weight of 0 counts as 1.  */
+/* Returns the weight of MODEL in the demand of all models; a configured weight
+   of 0 counts as 1.  */
 uint32_t
 pb_demand_weight (const struct cfg_model *model)
 {
   return MAX (model->demand_weight, 1);
 }
 
-/* Returns the segment at INDEX.  */
+/* Returns the segment at INDEX, which must be less than the length of
+   SEGMENTS.  */
 const struct pb_segment *
 pb_segment_at (const GArray *segments, uint32_t index)
 {
   return &g_array_index (segments, struct pb_segment, index);
 }
 
+/* Makes each usable host of CONFIG an engine of PROBLEM.  */
 static void
 fill_engines (const struct cfg_config *config, const bool *usable,
               struct pb_problem *problem)
@@ -53,6 +59,7 @@
   problem->as_problem.engine_count = count;
 }
 
+/* Sets the demand and memory of each segment of PROBLEM.  */
 static void
 fill_segments (const struct cfg_config *config, struct pb_problem *problem)
 {
@@ -77,7 +84,9 @@
   problem->as_problem.segment_count = count;
 }
 
-/* Creates the problem of SEGMENTS, which it takes over.  */
+/* Returns the problem of assigning SEGMENTS to the usable hosts of CONFIG and
+   takes ownership of SEGMENTS.  The caller frees the problem with
+   pb_destroy.  */
 struct pb_problem *
 pb_create (const struct cfg_config *config, const bool *usable,
            GArray *segments)
@@ -89,7 +98,7 @@
   problem->as_problem.data_centre_count = MAX (config->data_centre_count, 1);
   problem->as_problem.replicas_min = 1 + config->rules.spare_hosts;
   problem->as_problem.data_centres_min
-      = MIN (config->data_centre_count, DATA_CENTRES_WANTED);
+      = MIN (config->data_centre_count, DATA_CENTRES_MIN);
   problem->as_problem.segments_max = SNAP_RANGES_MAX;
   return problem;
 }
@@ -105,7 +114,8 @@
   g_free (problem);
 }
 
-/* Marks where the ranges of MODEL start and end.  */
+/* Sets the entries of BOUNDARIES, of length LAYERS + 1, at which a range of
+   MODEL starts or ends.  */
 static void
 mark_boundaries (const struct pl_placement *placement, uint32_t model,
                  uint32_t layers, bool *boundaries)
@@ -128,7 +138,8 @@
     }
 }
 
-/* Returns the segments that PLACEMENT divides the models into.  */
+/* Returns the segments between the boundaries of all ranges in PLACEMENT.
+   These cover all layers of all models.  The caller frees the array.  */
 GArray *
 pb_segments_of (const struct cfg_config *config,
                 const struct pl_placement *placement)
@@ -154,7 +165,8 @@
   return segments;
 }
 
-/* Returns the index of the segment that is exactly RANGE, or UINT32_MAX.  */
+/* Returns the index of the segment that equals RANGE, or UINT32_MAX when there
+   is none.  */
 static uint32_t
 find_segment (const GArray *segments, const struct snap_range *range)
 {
@@ -170,8 +182,8 @@
   return UINT32_MAX;
 }
 
-/* Returns whether each range of PLACEMENT is one of SEGMENTS, so that no range
-   reaches over a boundary of another.  */
+/* Returns whether each range of PLACEMENT equals one of SEGMENTS, so that no
+   range extends across a boundary of another.  */
 bool
 pb_is_aligned (const struct pl_placement *placement, const GArray *segments)
 {
@@ -189,8 +201,10 @@
   return true;
 }
 
-/* Returns the assignment that PLACEMENT stands for.  Memory is not checked
-   again: what is held is held.  */
+/* Returns the assignment that corresponds to PLACEMENT, whose ranges must each
+   equal a segment of PROBLEM (pb_is_aligned).  Leaves out hosts that are no
+   engines of PROBLEM, and ranges for which a host lacks the memory.  The
+   assignment is not evaluated yet; the caller frees it.  */
 struct as_assignment *
 pb_to_assignment (const struct pb_problem *problem,
                   const struct pl_placement *placement)
@@ -216,7 +230,8 @@
   return assignment;
 }
 
-/* Returns the placement that ASSIGNMENT stands for.  */
+/* Returns the placement that corresponds to ASSIGNMENT, with one entry for
+   each host of CONFIG.  The caller frees it.  */
 struct pl_placement *
 pb_to_placement (const struct cfg_config *config,
                  const struct pb_problem *problem,
@@ -244,8 +259,10 @@
   return placement;
 }
 
-/* Returns the token rate of all models that no placement can exceed: the rates
-   of all usable engines over the layers of one token, by demand.  */
+/* Returns the rate, in tokens per second of all models together, that no
+   placement can exceed: the sum of the usable engines' rates divided by the
+   layers of an average token, by demand weights.  Leaves out engines that lack
+   the memory for the smallest layer.  */
 double
 pb_compute_only_bound (const struct cfg_config *config, const bool *usable)
 {
--- a/src/core/problem.h
+++ b/src/core/problem.h
@@ -1,5 +1,8 @@
-/* The assignment problem that a configuration and one division of its models
-   into segments make, and the way back from its answer to a placement. */
+/* Translates between placements and the assignment problem.
+
+   A configuration and a division of its models into segments make up an
+   assignment problem (pb_create).  The module converts a placement into an
+   assignment for that problem, and an assignment back into a placement. */
 #ifndef CORE_PROBLEM_H
 #define CORE_PROBLEM_H
 
@@ -8,20 +11,22 @@
 
 #include <glib.h>
 
+/* A range of consecutive layers of one model. */
 struct pb_segment
 {
-  uint32_t model;
+  uint32_t model; /* index in the configuration */
   uint32_t first;
-  uint32_t end;
+  uint32_t end; /* one past the last layer */
 };
 
+/* An assignment problem with the arrays that it refers to. */
 struct pb_problem
 {
   struct as_problem as_problem;
-  struct as_engine *engines;
-  uint32_t *hosts; /* by engine: index in the configuration */
-  struct as_segment *as_segments;
-  GArray *segments; /* struct pb_segment */
+  struct as_engine *engines;      /* the usable hosts, and room for one more */
+  uint32_t *hosts;                /* by engine: index in the configuration */
+  struct as_segment *as_segments; /* by segment */
+  GArray *segments;               /* of struct pb_segment */
 };
 
 bool pb_is_usable (const struct cfg_config *config, const bool *usable,
--- a/src/core/rank.c
+++ b/src/core/rank.c
@@ -6,14 +6,14 @@
   double key;
 };
 
-/* Creates an empty list; freed with g_array_free.  */
+/* Returns an empty list.  The caller frees it with g_array_free.  */
 GArray *
 rk_create (void)
 {
   return g_array_new (FALSE, FALSE, sizeof (struct ranked));
 }
 
-/* Appends INDEX with its KEY.  */
+/* Appends INDEX with the sort key KEY to LIST.  */
 void
 rk_add (GArray *list, uint32_t index, double key)
 {
@@ -33,14 +33,15 @@
   return a->index < b->index ? -1 : a->index > b->index;
 }
 
-/* Sorts LIST, least key first.  */
+/* Sorts LIST, smallest key first.  */
 void
 rk_sort (GArray *list)
 {
   g_array_sort (list, compare_ranked);
 }
 
-/* Returns the index at POSITION.  */
+/* Returns the index in the entry of LIST at POSITION, which must be less than
+   the length of LIST.  */
 uint32_t
 rk_at (const GArray *list, uint32_t position)
 {
--- a/src/core/rank.h
+++ b/src/core/rank.h
@@ -1,4 +1,5 @@
-/* Lists of indices, sorted by a key; equal keys by index. */
+/* Lists of indices that are sorted by a key, ascending; entries with equal
+   keys are sorted by index. */
 #ifndef CORE_RANK_H
 #define CORE_RANK_H
 
