--- a/src/core/bound.c
+++ b/src/core/bound.c
@@ -1,3 +1,4 @@
+/* The token rate that a placement allows, and comparisons of placements. */
 #include "core/flow.h"
 #include "core/placement.h"
 #include "core/problem.h"
@@ -5,24 +6,27 @@
 #include <glib.h>
 #include <string.h>
 
-/* Sets the bound of a placement whose ranges are all segments: exact.  */
+/* Sets BOUND, exactly, for a PLACEMENT whose ranges each equal one of
+   SEGMENTS, of which it takes ownership.  The bottleneck is the limiting
+   segment with the fewest holders.  */
 static void
-bound_of_segments (const struct cfg_config *config, const bool *usable,
-                   const struct pl_placement *placement, GArray *segments,
-                   struct pl_bound *bound)
+find_aligned_bound (const struct cfg_config *config, const bool *usable,
+                    const struct pl_placement *placement, GArray *segments,
+                    struct pl_bound *bound)
 {
   struct pb_problem *problem = pb_create (config, usable, segments);
   struct as_assignment *assignment = pb_to_assignment (problem, placement);
   as_evaluate (assignment);
   bound->tokens_per_s = assignment->tokens_per_s;
   bound->uncovered = as_count_under_replicated (assignment);
-  uint32_t fewest = UINT32_MAX;
+  uint32_t fewest_holders = UINT32_MAX;
   for (uint32_t i = 0; i < problem->as_problem.segment_count; i++)
     {
-      if (assignment->limiting[i] && assignment->holder_counts[i] < fewest)
+      if (assignment->limiting[i]
+          && assignment->holder_counts[i] < fewest_holders)
         {
           const struct pb_segment *segment = pb_segment_at (segments, i);
-          fewest = assignment->holder_counts[i];
+          fewest_holders = assignment->holder_counts[i];
           bound->model = segment->model;
           bound->first = segment->first;
           bound->end = segment->end;
@@ -32,8 +36,8 @@
   pb_destroy (problem);
 }
 
-/* Returns the rate of MODEL when each engine divides its rate evenly among its
-   ranges.  */
+/* Returns the rate of MODEL, in tokens per second, when each engine divides
+   its rate evenly among its ranges.  */
 static double
 even_rate_of_model (const struct cfg_config *config, const bool *usable,
                     const struct pl_placement *placement, uint32_t model)
@@ -50,7 +54,7 @@
         {
           const struct snap_range *range = &host->ranges[j];
           uint32_t work = (range->end - range->first) * host->range_count;
-          struct fl_range flow = {
+          struct fl_range flow_range = {
             .first = range->first,
             .end = range->end,
             .tokens_per_s
@@ -58,7 +62,7 @@
           };
           if (range->model == model && range->first < range->end)
             {
-              g_array_append_val (ranges, flow);
+              g_array_append_val (ranges, flow_range);
             }
         }
     }
@@ -69,11 +73,14 @@
   return rate;
 }
 
-/* Sets the bound of any other placement by the maximum flow over its layer
-   boundaries: exact when each engine holds one range, a lower bound else.  */
+/* Sets BOUND for a PLACEMENT in which ranges extend across each other's
+   boundaries, by the maximum flow through the boundaries of layers.  The
+   result is exact when each engine holds one range, and a lower bound
+   otherwise.  The bottleneck is a whole model.  */
 static void
-bound_of_ranges (const struct cfg_config *config, const bool *usable,
-                 const struct pl_placement *placement, struct pl_bound *bound)
+find_unaligned_bound (const struct cfg_config *config, const bool *usable,
+                      const struct pl_placement *placement,
+                      struct pl_bound *bound)
 {
   double weights = 0.0;
   for (uint32_t i = 0; i < config->model_count; i++)
@@ -96,8 +103,9 @@
     }
 }
 
-/* Sets BOUND to the token rate that PLACEMENT allows on the usable hosts and
-   to the rate that no placement exceeds.  */
+/* Sets BOUND to the token rate that PLACEMENT allows on the usable hosts, to
+   its bottleneck, and to the rate that no placement exceeds.  USABLE, by host,
+   may be NULL for all hosts.  All fields are 0 when there are no models.  */
 void
 pl_find_bound (const struct cfg_config *config, const bool *usable,
                const struct pl_placement *placement, struct pl_bound *bound)
@@ -111,13 +119,14 @@
   GArray *segments = pb_segments_of (config, placement);
   if (pb_is_aligned (placement, segments))
     {
-      bound_of_segments (config, usable, placement, segments, bound);
+      find_aligned_bound (config, usable, placement, segments, bound);
       return;
     }
   g_array_free (segments, TRUE);
-  bound_of_ranges (config, usable, placement, bound);
+  find_unaligned_bound (config, usable, placement, bound);
 }
 
+/* Returns whether HOST holds exactly RANGE, not merely its layers.  */
 static bool
 host_holds (const struct pl_host *host, const struct snap_range *range)
 {
@@ -131,7 +140,8 @@
   return false;
 }
 
-/* Returns the ranges of FROM that TO does not hold, and adds their memory.  */
+/* Returns the number of ranges of FROM that TO does not hold, and adds their
+   memory to MIB.  */
 static uint32_t
 count_missing (const struct cfg_config *config, const struct pl_host *from,
                const struct pl_host *to, uint64_t *mib)
@@ -150,21 +160,21 @@
   return count;
 }
 
-/* Counts what it takes to go from one placement to another; NULL stands for
-   one in which nothing is held.  */
+/* Sets MOVES to the loads and unloads that lead from placement FROM to TO.
+   NULL stands for a placement in which no host holds a range.  */
 void
 pl_count_moves (const struct cfg_config *config,
                 const struct pl_placement *from, const struct pl_placement *to,
                 struct pl_moves *moves)
 {
-  static const struct pl_host nothing;
+  static const struct pl_host empty;
   memset (moves, 0, sizeof *moves);
   for (uint32_t i = 0; i < config->host_count; i++)
     {
       const struct pl_host *old
-          = from != NULL && i < from->host_count ? &from->hosts[i] : &nothing;
+          = from != NULL && i < from->host_count ? &from->hosts[i] : &empty;
       const struct pl_host *new
-          = to != NULL &&i < to->host_count ? &to->hosts[i] : &nothing;
+          = to != NULL &&i < to->host_count ? &to->hosts[i] : &empty;
       uint64_t unloaded_mib = 0;
       uint32_t loads = count_missing (config, new, old, &moves->load_mib);
       uint32_t unloads = count_missing (config, old, new, &unloaded_mib);
@@ -174,8 +184,9 @@
     }
 }
 
+/* Returns the first engine of KIND in CONFIG, or NULL when there is none.  */
 static const struct cfg_host *
-host_of_kind (const struct cfg_config *config, const char *kind)
+first_engine_of_kind (const struct cfg_config *config, const char *kind)
 {
   for (uint32_t i = 0; i < config->host_count; i++)
     {
@@ -188,14 +199,16 @@
   return NULL;
 }
 
-/* Returns how much the bound of PLACEMENT rises with one more host like the
-   first one of KIND, the ranges' boundaries staying as they are.  0 when there
-   is no such kind or the boundaries overlap.  */
+/* Returns by how many tokens per second the bound of PLACEMENT rises with one
+   more host like the first engine of KIND, when the boundaries of the ranges
+   stay as they are.  Improves PLACEMENT first, so that only the effect of the
+   host is counted.  Returns 0 when CONFIG has no engine of KIND or ranges
+   extend across each other's boundaries.  */
 double
 pl_gain_of_kind (const struct cfg_config *config, const bool *usable,
                  const struct pl_placement *placement, const char *kind)
 {
-  const struct cfg_host *host = host_of_kind (config, kind);
+  const struct cfg_host *host = first_engine_of_kind (config, kind);
   GArray *segments = pb_segments_of (config, placement);
   if (host == NULL || !pb_is_aligned (placement, segments))
     {
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -5,19 +5,23 @@
 
 #include <glib.h>
 
-/* Fewer, longer segments mean fewer hops for each token: they are taken when
-   the bound is within this fraction of the best. */
-#define LONGER_SEGMENTS_WITHIN 0.99
-/* A repaired placement is kept unless planning afresh gives this much more. */
-#define KEPT_WITHIN 0.90
-/* Each move of a repair raises the bound by this fraction at least. */
-#define LEAST_GAIN_OF_MOVE 0.01
-/* Random moves for one division, and cells of engines by segments that they
-   may read in all. */
+/* A division into fewer, longer segments is chosen over one into more when the
+   rate of the first is at least this fraction of the second's: fewer segments
+   mean fewer hops for each token. */
+#define LONGER_SEGMENTS_FRACTION 0.99
+/* A repaired placement is kept when its rate is at least this fraction of the
+   compute-only bound, or of the rate of a placement that is planned anew. */
+#define REPAIR_KEPT_FRACTION 0.90
+/* Each move of a repair raises the rate by at least this fraction. */
+#define MOVE_GAIN_MIN 0.01
+/* Random moves in the annealing of one division at most. */
 #define ANNEAL_STEPS_MAX 2000
+/* Limit on the annealing steps of one division times its engines times its
+   segments, since a step takes time in proportion to both. */
 #define ANNEAL_CELLS_MAX 3000000
 
-/* Creates a placement in which no host holds anything.  */
+/* Returns a placement in which no host holds a range.  The caller frees it
+   with pl_destroy.  */
 struct pl_placement *
 pl_create (uint32_t host_count)
 {
@@ -27,7 +31,7 @@
   return placement;
 }
 
-/* Frees PLACEMENT; NULL is allowed.  */
+/* Frees PLACEMENT, which may be NULL.  */
 void
 pl_destroy (struct pl_placement *placement)
 {
@@ -39,51 +43,56 @@
   g_free (placement);
 }
 
-/* A placement with what decides between it and others. */
-struct trial
+/* A placement with the criteria by which it is compared. */
+struct candidate
 {
-  struct pl_placement *placement;
+  struct pl_placement *placement; /* owned; NULL: none */
   double tokens_per_s;
-  uint32_t uncovered;
+  uint32_t under_replicated; /* segments on too few hosts */
 };
 
-/* Returns whether trial A is better than B by more than the fraction that
-   WITHIN leaves.  */
+/* Returns whether A is better than B: it has fewer under-replicated segments,
+   or as many and a rate that exceeds that of B even after multiplication with
+   FRACTION.  A candidate without a placement is worse than one with.  */
 static bool
-is_better (const struct trial *a, const struct trial *b, double within)
+is_better (const struct candidate *a, const struct candidate *b,
+           double fraction)
 {
   if (a->placement == NULL || b->placement == NULL)
     {
       return a->placement != NULL;
     }
-  if (a->uncovered != b->uncovered)
+  if (a->under_replicated != b->under_replicated)
     {
-      return a->uncovered < b->uncovered;
+      return a->under_replicated < b->under_replicated;
     }
-  return a->tokens_per_s * within > b->tokens_per_s;
+  return a->tokens_per_s * fraction > b->tokens_per_s;
 }
 
+/* Moves the placement of CANDIDATE to KEPT, and frees that of KEPT.  */
 static void
-keep_trial (struct trial *kept, struct trial *trial)
+keep_candidate (struct candidate *kept, struct candidate *candidate)
 {
   pl_destroy (kept->placement);
-  *kept = *trial;
-  trial->placement = NULL;
+  *kept = *candidate;
+  candidate->placement = NULL;
 }
 
-static struct trial
-to_trial (const struct cfg_config *config, const struct pb_problem *problem,
-          const struct as_assignment *assignment)
+/* Returns the candidate that corresponds to an evaluated ASSIGNMENT.  */
+static struct candidate
+to_candidate (const struct cfg_config *config,
+              const struct pb_problem *problem,
+              const struct as_assignment *assignment)
 {
-  return (struct trial){
+  return (struct candidate){
     .placement = pb_to_placement (config, problem, assignment),
     .tokens_per_s = assignment->tokens_per_s,
-    .uncovered = as_count_under_replicated (assignment),
+    .under_replicated = as_count_under_replicated (assignment),
   };
 }
 
-/* Returns how many random moves are worth their time: large fleets are
-   balanced well without.  */
+/* Returns the number of annealing steps for PROBLEM.  Large fleets get few or
+   none: they are balanced well without, and each step takes longer.  */
 static uint32_t
 anneal_steps (const struct as_problem *problem)
 {
@@ -91,21 +100,23 @@
   return MIN (ANNEAL_STEPS_MAX, ANNEAL_CELLS_MAX / MAX (cells, 1));
 }
 
-/* Tries one division into segments.  Where memory is short, each segment gets
-   its copies first; where it is ample, rates are balanced first.  */
-static struct trial
+/* Returns a candidate for the division in PROBLEM.  With REPLICATE_FIRST,
+   which suits fleets that are short of memory, gives each segment its replicas
+   before it balances rates, and anneals the result; otherwise balances rates
+   first.  */
+static struct candidate
 try_division (const struct cfg_config *config,
-              const struct pb_problem *problem, bool cover_first)
+              const struct pb_problem *problem, bool replicate_first)
 {
   struct as_assignment *assignment = as_create (&problem->as_problem);
-  if (cover_first)
+  if (replicate_first)
     {
       as_replicate (assignment);
     }
   as_fill (assignment, false);
   as_replicate (assignment);
   as_improve (assignment, 0.0);
-  if (cover_first)
+  if (replicate_first)
     {
       struct as_assignment *annealed
           = as_anneal (assignment, anneal_steps (&problem->as_problem));
@@ -113,111 +124,120 @@
       assignment = annealed;
       as_improve (assignment, 0.0);
     }
-  struct trial trial = to_trial (config, problem, assignment);
+  struct candidate candidate = to_candidate (config, problem, assignment);
   as_destroy (assignment);
-  return trial;
+  return candidate;
 }
 
-/* Returns whether no other trial can be better by the margin asked for.  */
+/* Returns whether BEST is so close to COMPUTE_ONLY that no other candidate can
+   be better by the required margin.  */
 static bool
-is_final (const struct trial *best, double compute_only)
+is_final (const struct candidate *best, double compute_only)
 {
-  return best->placement != NULL && best->uncovered == 0
-         && best->tokens_per_s >= LONGER_SEGMENTS_WITHIN * compute_only;
+  return best->placement != NULL && best->under_replicated == 0
+         && best->tokens_per_s >= LONGER_SEGMENTS_FRACTION * compute_only;
 }
 
-/* Tries one division both ways and keeps the better in BEST.  */
+/* Makes candidates for the division in PROBLEM, balancing rates first and
+   replicating first, and keeps them in BEST if they are better.  */
 static void
-try_both_ways (const struct cfg_config *config,
-               const struct pb_problem *problem, double compute_only,
-               struct trial *best)
+try_both_orders (const struct cfg_config *config,
+                 const struct pb_problem *problem, double compute_only,
+                 struct candidate *best)
 {
-  for (int cover_first = 0; cover_first < 2 && !is_final (best, compute_only);
-       cover_first++)
+  for (int replicate_first = 0;
+       replicate_first < 2 && !is_final (best, compute_only);
+       replicate_first++)
     {
-      struct trial trial = try_division (config, problem, cover_first == 1);
-      if (is_better (&trial, best, LONGER_SEGMENTS_WITHIN))
+      struct candidate candidate
+          = try_division (config, problem, replicate_first == 1);
+      if (is_better (&candidate, best, LONGER_SEGMENTS_FRACTION))
         {
-          keep_trial (best, &trial);
+          keep_candidate (best, &candidate);
         }
-      pl_destroy (trial.placement);
+      pl_destroy (candidate.placement);
     }
 }
 
-/* Plans without regard to what is held now.  Divisions are tried from the one
-   with fewest segments on, and a later one must be better by a margin.  */
-static struct trial
-plan_afresh (const struct cfg_config *config, const bool *usable)
+/* Returns the best candidate regardless of what hosts hold now.  Tries
+   divisions in the order of their number of segments, fewest first; a later
+   one replaces an earlier one only if it is better by a margin.  */
+static struct candidate
+plan_anew (const struct cfg_config *config, const bool *usable)
 {
-  struct trial best = { .placement = NULL };
+  struct candidate best = { .placement = NULL };
   double compute_only = pb_compute_only_bound (config, usable);
   GPtrArray *divisions = dv_list (config, usable);
   for (uint32_t i = 0; i < divisions->len; i++)
     {
       struct pb_problem *problem
           = pb_create (config, usable, g_ptr_array_index (divisions, i));
-      try_both_ways (config, problem, compute_only, &best);
+      try_both_orders (config, problem, compute_only, &best);
       pb_destroy (problem);
     }
   g_ptr_array_free (divisions, TRUE);
   return best;
 }
 
-/* Keeps the segments of CURRENT and what hosts hold, fills hosts that hold
-   nothing and makes only moves that are worth a load.  The trial is without a
-   placement when the ranges of CURRENT reach over each other's boundaries.  */
-static struct trial
+/* Returns a candidate that keeps the segments of CURRENT and what hosts hold,
+   fills hosts that hold nothing, and otherwise makes only moves that raise the
+   rate enough to be worth a load.  The candidate has no placement when ranges
+   of CURRENT extend across each other's boundaries.  */
+static struct candidate
 plan_repair (const struct cfg_config *config, const bool *usable,
              const struct pl_placement *current)
 {
-  struct trial trial = { .placement = NULL };
+  struct candidate candidate = { .placement = NULL };
   GArray *segments = pb_segments_of (config, current);
   if (!pb_is_aligned (current, segments))
     {
       g_array_free (segments, TRUE);
-      return trial;
+      return candidate;
     }
   struct pb_problem *problem = pb_create (config, usable, segments);
   struct as_assignment *assignment = pb_to_assignment (problem, current);
   as_fill (assignment, true);
   as_replicate (assignment);
-  as_improve (assignment, LEAST_GAIN_OF_MOVE);
-  trial = to_trial (config, problem, assignment);
+  as_improve (assignment, MOVE_GAIN_MIN);
+  candidate = to_candidate (config, problem, assignment);
   as_destroy (assignment);
   pb_destroy (problem);
-  return trial;
+  return candidate;
 }
 
-/* Decides which engine holds which range, so that the least of the models'
-   bounds by demand is largest.  USABLE says by host which may be used (NULL:
-   all); draining hosts never are.  CURRENT is what is held now, or NULL: it is
-   kept with few moves unless planning afresh gives clearly more.  Where memory
-   allows, any `spare_hosts' hosts and any one data centre may be lost without
-   losing a layer.  */
+/* Returns a placement that maximises the token rate of all models together, in
+   proportion to their demand weights.  The caller frees it with pl_destroy.
+
+   USABLE tells, by host, which hosts may be used, and is NULL for all;
+   draining hosts are never used.  CURRENT is what hosts hold now, or NULL.  It
+   is repaired with few moves unless planning anew gives a clearly higher rate.
+   Where memory allows, any `spare_hosts' hosts and any one data centre can
+   fail without a layer being lost.  */
 struct pl_placement *
 pl_plan (const struct cfg_config *config, const bool *usable,
          const struct pl_placement *current)
 {
-  struct trial repaired = { .placement = NULL };
+  struct candidate repaired = { .placement = NULL };
   if (current != NULL)
     {
       repaired = plan_repair (config, usable, current);
     }
-  if (repaired.placement != NULL && repaired.uncovered == 0)
+  if (repaired.placement != NULL && repaired.under_replicated == 0)
     {
       struct pl_bound bound;
       pl_find_bound (config, usable, repaired.placement, &bound);
-      if (bound.tokens_per_s >= KEPT_WITHIN * bound.compute_only_tokens_per_s)
+      if (bound.tokens_per_s
+          >= REPAIR_KEPT_FRACTION * bound.compute_only_tokens_per_s)
         {
           return repaired.placement;
         }
     }
-  struct trial fresh = plan_afresh (config, usable);
-  if (is_better (&fresh, &repaired, KEPT_WITHIN))
+  struct candidate anew = plan_anew (config, usable);
+  if (is_better (&anew, &repaired, REPAIR_KEPT_FRACTION))
     {
-      keep_trial (&repaired, &fresh);
+      keep_candidate (&repaired, &anew);
     }
-  pl_destroy (fresh.placement);
+  pl_destroy (anew.placement);
   return repaired.placement != NULL ? repaired.placement
                                     : pl_create (config->host_count);
 }
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,10 +1,14 @@
-/* Placement: which engine holds which ranges of layers of which model, and the
-   token rate that this allows. */
+/* Placement: which host holds which ranges of layers of which model, and the
+   token rate that this allows.
+
+   pl_plan computes a placement, pl_find_bound its token rate, and
+   pl_count_moves the loads that lead from one placement to another. */
 #ifndef CORE_PLACEMENT_H
 #define CORE_PLACEMENT_H
 
 #include "core/snapshot.h"
 
+/* The ranges of layers that one host holds. */
 struct pl_host
 {
   struct snap_range ranges[SNAP_RANGES_MAX];
@@ -17,25 +21,26 @@
   uint32_t host_count;
 };
 
+/* The highest token rate that a placement allows. */
 struct pl_bound
 {
-  double tokens_per_s; /* of all models, shared by their demand weights */
-  double compute_only_tokens_per_s; /* over all placements */
-  /* The bottleneck: the range whose holders are all fully used. */
-  uint32_t model;
+  double tokens_per_s; /* of all models, divided by their demand weights */
+  double compute_only_tokens_per_s; /* upper bound for all placements */
+  /* The bottleneck: a range whose holders are all fully used. */
+  uint32_t model; /* index in the configuration */
   uint32_t first;
-  uint32_t end;
-  uint32_t uncovered; /* ranges on too few hosts to lose the spare ones */
+  uint32_t end;       /* one past the last layer */
+  uint32_t uncovered; /* ranges on fewer than 1 + `spare_hosts' hosts */
 };
 
-/* What it takes to go from one placement to another.  Loads come out of the
-   weight store, which is limited in rate. */
+/* Loads and unloads that lead from one placement to another.  Loads read from
+   the weight store, whose rate is limited. */
 struct pl_moves
 {
-  uint32_t loads;   /* ranges */
-  uint32_t unloads; /* ranges */
-  uint32_t hosts;   /* with a load or an unload */
-  uint64_t load_mib;
+  uint32_t loads;    /* ranges */
+  uint32_t unloads;  /* ranges */
+  uint32_t hosts;    /* hosts with a load or an unload */
+  uint64_t load_mib; /* memory of the loaded ranges */
 };
 
 struct pl_placement *pl_create (uint32_t host_count);
