--- a/src/core/assign.c
+++ b/src/core/assign.c
@@ -378,9 +378,9 @@
                 >= segments[added].memory_mib;
 }
 
-/* Moves SEGMENT_A from engine A to engine B, and SEGMENT_B from B to A.  Of
-   the two engines, only A may hold SEGMENT_A and only B may hold SEGMENT_B. To
-   undo the swap, exchange A and B and leave the segments in their order.  */
+/* Moves SEGMENT_A from engine A to engine B, and SEGMENT_B from B to A.  Only
+   A of the two may hold SEGMENT_A, and only B may hold SEGMENT_B.  To undo the
+   swap, exchange A and B and leave the segments in their order.  */
 void
 as_swap (struct as_assignment *assignment, uint32_t a, uint32_t segment_a,
          uint32_t b, uint32_t segment_b)
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-/* Creates a configuration with room for the given numbers of items, which the
-   caller fills; strings are owned by the configuration.  */
+/* Returns a configuration with one reference and the given numbers of routes,
+   services and accounts, all zero, for the caller to fill.  The configuration
+   owns all strings in them.  */
 struct flt_config *
 flt_create (uint32_t routes, uint32_t services, uint32_t accounts)
 {
@@ -20,7 +21,7 @@
   return config;
 }
 
-/* Returns CONFIG with one more reference.  Thread-safe.  */
+/* Adds a reference to CONFIG and returns CONFIG.  Thread-safe.  */
 struct flt_config *
 flt_reference (struct flt_config *config)
 {
@@ -40,7 +41,7 @@
 }
 
 static void
-destroy (struct flt_config *config)
+destroy_config (struct flt_config *config)
 {
   for (uint32_t i = 0; i < config->route_count; i++)
     {
@@ -67,17 +68,18 @@
   g_free (config);
 }
 
-/* Gives one reference to CONFIG back; the last one frees it.  Thread-safe.  */
+/* Drops a reference to CONFIG, which may be NULL, and frees CONFIG with the
+   last one.  Thread-safe.  */
 void
 flt_release (struct flt_config *config)
 {
   if (config != NULL && g_atomic_int_dec_and_test (&config->references))
     {
-      destroy (config);
+      destroy_config (config);
     }
 }
 
-/* Lets KEY stand for the account of index ACCOUNT.  */
+/* Makes KEY, which is copied, an API key of the account at index ACCOUNT.  */
 void
 flt_add_key (struct flt_config *config, const char *key, uint32_t account)
 {
@@ -91,7 +93,8 @@
   g_array_free (data, TRUE);
 }
 
-/* Builds the look-up of routes by host; called once all routes are filled.  */
+/* Builds the index of routes by host for flt_find_route.  Must be called once,
+   when all routes are filled.  */
 void
 flt_index (struct flt_config *config)
 {
@@ -110,7 +113,7 @@
     }
 }
 
-/* Returns the route of HOST whose prefix is the longest that begins PATH, or
+/* Returns the route of HOST with the longest prefix that PATH begins with, or
    NULL when there is none.  */
 const struct flt_route *
 flt_find_route (const struct flt_config *config, const char *host,
@@ -134,16 +137,17 @@
   return best;
 }
 
-/* Returns the account that holds KEY, or NULL.  */
+/* Returns the account with the API key KEY, or NULL when there is none.  */
 const struct flt_account *
 flt_find_account (const struct flt_config *config, const char *key)
 {
-  guint stored
+  guint index_plus_one
       = GPOINTER_TO_UINT (g_hash_table_lookup (config->account_by_key, key));
-  return stored == 0 ? NULL : &config->accounts[stored - 1];
+  return index_plus_one == 0 ? NULL : &config->accounts[index_plus_one - 1];
 }
 
-/* Returns the index of the service called NAME, or FLT_NO_INDEX.  */
+/* Returns the index of the service called NAME, or FLT_NO_INDEX when there is
+   none.  */
 uint32_t
 flt_find_service (const struct flt_config *config, const char *name)
 {
@@ -157,7 +161,8 @@
   return FLT_NO_INDEX;
 }
 
-/* Returns the kind of accelerator called NAME, or NULL.  */
+/* Returns the kind of accelerator called NAME, which may be NULL, or NULL when
+   there is none.  */
 const struct flt_kind *
 flt_find_kind (const struct flt_engine *engine, const char *name)
 {
@@ -171,8 +176,8 @@
   return NULL;
 }
 
-/* Returns the service of ROUTE that DRAW, any number, falls to by weight, or
-   FLT_NO_INDEX when no service has a weight.  */
+/* Returns the index of a service of ROUTE, chosen by weight with the random
+   number DRAW, or FLT_NO_INDEX when no service has a weight.  */
 uint32_t
 flt_choose_service (const struct flt_route *route, uint32_t draw)
 {
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -1,6 +1,8 @@
-/* The fleet's configuration as the platform's operator publishes it: routes,
-   services with their engines, tenants of client accounts and limits on
-   callers.  Immutable once built; shared by reference count. */
+/* The configuration of the fleet, as the platform's operator publishes it:
+   routes, services with their engines, client accounts, and limits on callers.
+
+   A configuration is built with flt_create, flt_add_key and flt_index and must
+   not be changed afterwards.  Threads share it by reference count. */
 #ifndef CORE_FLEET_H
 #define CORE_FLEET_H
 
@@ -8,19 +10,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define FLT_NO_INDEX UINT32_MAX
-#define FLT_KINDS_MAX 16
-#define FLT_SPLIT_MAX 8
+#define FLT_NO_INDEX UINT32_MAX /* stands for a missing index or value */
+#define FLT_KINDS_MAX 16        /* kinds of accelerators in a service */
+#define FLT_SPLIT_MAX 8         /* services that share a route */
 
-/* What of a request may be repeated. */
+/* Whether a request that an endpoint may have run may be sent to another. */
 enum flt_repeat
 {
   FLT_REPEAT_NEVER,
   FLT_REPEAT_FREELY,
-  FLT_REPEAT_STREAM /* answers are event streams */
+  FLT_REPEAT_STREAM /* answers are event streams: only if resumable */
 };
 
-/* A kind of accelerator; factors are over the engine's own figures. */
+/* A kind of accelerator.  The factors multiply the times that follow from
+   struct flt_engine; lower is faster. */
 struct flt_kind
 {
   char *name;
@@ -29,21 +32,22 @@
   double prefill_factor;
 };
 
-/* How the engines of one service compute, and the model that they share. */
+/* Capacity and speed of the engines of one service, and the model that they
+   run together, each engine some of its layers. */
 struct flt_engine
 {
-  uint32_t slots;
-  double cache_tokens_max;    /* of one engine */
-  double cache_token_bytes;   /* of one token through all layers */
-  double step_ms;             /* of all layers */
-  double step_per_stream_ms;  /* added for each stream that is writing */
-  double step_per_context_ms; /* added for 1,000 tokens of context */
+  uint32_t slots;             /* requests that an engine runs at once */
+  double cache_tokens_max;    /* KV cache of one engine */
+  double cache_token_bytes;   /* KV cache of one token, for all layers */
+  double step_ms;             /* time of one decoding step, for all layers */
+  double step_per_stream_ms;  /* added for each stream that is decoding */
+  double step_per_context_ms; /* added for each 1,000 tokens of context */
   double prefill_tokens_per_s;
   uint32_t layers;
-  double layer_mb;
-  double activation_bytes; /* of one token, from part to part */
+  double layer_mb;         /* memory for the weights of one layer */
+  double activation_bytes; /* of one token, between two parts of a path */
   double zone_link_mbps;   /* between two data centres */
-  double load_s;           /* of all layers */
+  double load_s;           /* time to load all layers */
   double usual_prompt_tokens;
   double usual_answer_tokens;
   struct flt_kind kinds[FLT_KINDS_MAX];
@@ -54,14 +58,15 @@
 {
   char *name;
   char *health_path;
-  uint32_t connections_max; /* of one endpoint, from all daemons */
-  bool has_engine;
+  uint32_t connections_max; /* to one endpoint, from all daemons together */
+  bool has_engine;          /* `engine' is set */
   struct flt_engine engine;
 };
 
+/* The part of a route's requests that goes to one service. */
 struct flt_share
 {
-  uint32_t service; /* index */
+  uint32_t service; /* index in the configuration */
   uint32_t weight;
 };
 
@@ -77,17 +82,18 @@
   uint32_t priority; /* 0 is the highest */
   struct flt_share split[FLT_SPLIT_MAX];
   uint32_t split_count;
-  uint32_t attempts_max;
-  bool is_public;
-  bool resumable;
+  uint32_t attempts_max; /* endpoints that may run one request */
+  bool is_public;        /* needs no account */
+  bool resumable;        /* a broken stream may go on elsewhere */
 };
 
 struct flt_account
 {
   char *name;
-  uint32_t priority; /* FLT_NO_INDEX: that of the route */
+  uint32_t priority; /* FLT_NO_INDEX: the route's priority applies */
 };
 
+/* Limits on the requests and connections of callers. */
 struct flt_limits
 {
   uint32_t header_bytes_max;
@@ -106,9 +112,9 @@
   uint32_t service_count;
   struct flt_account *accounts;
   uint32_t account_count;
-  bool has_accounts;
-  GHashTable *account_by_key; /* to index + 1 */
-  GHashTable *routes_by_host; /* to GArray of route indexes */
+  bool has_accounts;          /* routes that aren't public need an account */
+  GHashTable *account_by_key; /* API key to index + 1 */
+  GHashTable *routes_by_host; /* host name to GArray of route indexes */
   struct flt_limits limits;
 };
 
