--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -84,7 +84,7 @@
   uint32_t split_count;
   uint32_t attempts_max; /* endpoints that may run one request */
   bool is_public;        /* needs no account */
-  bool resumable;        /* a broken stream may go on elsewhere */
+  bool resumable;        /* broken streams may be resumed */
 };
 
 struct flt_account
--- a/src/core/path.c
+++ b/src/core/path.c
@@ -3,116 +3,131 @@
 #include <math.h>
 #include <string.h>
 
-#define NONE UINT32_MAX
+#define NO_STEP UINT32_MAX
 
-/* The cheapest way to run the layers up to one, ending on one engine that
-   holds it. */
+/* One layer that runs on one engine that holds it, with the cheapest way to
+   run the layers up to and including this one. */
 struct step
 {
   double cost_ms;
-  uint32_t card;
-  uint32_t from; /* step of the layer before */
+  uint32_t engine;
+  uint32_t previous; /* step of the previous layer on that way */
 };
 
+/* Dynamic programming over the layers: the steps of a layer are computed from
+   those of the previous layer.  Steps are given by their index. */
 struct search
 {
   const struct pth_costs *costs;
-  const struct pth_card *cards;
-  uint32_t card_count;
-  struct step *steps;  /* by layer */
-  uint32_t *first;     /* step of each layer, and their number at the end */
-  uint32_t *last_step; /* of each engine, of the layer before; NONE: none */
-  uint32_t zone_count;
-  uint32_t cheapest;     /* step of the layer before; NONE: none */
-  uint32_t *cheapest_in; /* the same by data centre */
+  const struct pth_card *engines;
+  uint32_t engine_count;
+  struct step *steps;    /* sorted by layer */
+  uint32_t *first_steps; /* by layer; the number of steps at the end */
+  /* Step of each engine at the previous layer, or NO_STEP. */
+  uint32_t *step_by_engine;
+  uint32_t zone_count; /* data centres */
+  /* Cheapest step of the previous layer, of all and by data centre, or
+     NO_STEP. */
+  uint32_t cheapest;
+  uint32_t *cheapest_by_zone;
 };
 
-/* Returns the layers that CARD may run.  */
+/* Returns the layers that ENGINE can run of a model with LAYERS layers; an
+   empty range if the engine is not usable.  */
 static struct rst_layers
-usable_layers (const struct pth_card *card, uint32_t layers)
+usable_layers (const struct pth_card *engine, uint32_t layers)
 {
-  struct rst_layers range = { card->held.first, MIN (card->held.end, layers) };
-  return card->usable && range.first < range.end ? range
-                                                 : (struct rst_layers){ 0, 0 };
+  struct rst_layers range
+      = { engine->held.first, MIN (engine->held.end, layers) };
+  return engine->usable && range.first < range.end
+             ? range
+             : (struct rst_layers){ 0, 0 };
 }
 
-/* Makes one step for each layer of each engine.  */
+/* Creates a step of infinite cost for each layer that a usable engine holds,
+   sorted by layer.  */
 static void
 make_steps (struct search *search)
 {
   uint32_t layers = search->costs->layers;
-  search->first = g_new0 (uint32_t, layers + 1);
-  for (uint32_t i = 0; i < search->card_count; i++)
+  search->first_steps = g_new0 (uint32_t, layers + 1);
+  for (uint32_t i = 0; i < search->engine_count; i++)
     {
-      struct rst_layers range = usable_layers (&search->cards[i], layers);
+      struct rst_layers range = usable_layers (&search->engines[i], layers);
       for (uint32_t layer = range.first; layer < range.end; layer++)
         {
-          search->first[layer + 1]++;
+          search->first_steps[layer + 1]++;
         }
-      search->zone_count = MAX (search->zone_count, search->cards[i].zone + 1);
+      search->zone_count
+          = MAX (search->zone_count, search->engines[i].zone + 1);
     }
   for (uint32_t layer = 0; layer < layers; layer++)
     {
-      search->first[layer + 1] += search->first[layer];
+      search->first_steps[layer + 1] += search->first_steps[layer];
     }
-  search->steps = g_new (struct step, search->first[layers] + 1);
-  uint32_t *next = g_memdup2 (search->first, layers * sizeof *next);
-  for (uint32_t i = 0; i < search->card_count; i++)
+  search->steps = g_new (struct step, search->first_steps[layers] + 1);
+  uint32_t *next = g_memdup2 (search->first_steps, layers * sizeof *next);
+  for (uint32_t i = 0; i < search->engine_count; i++)
     {
-      struct rst_layers range = usable_layers (&search->cards[i], layers);
+      struct rst_layers range = usable_layers (&search->engines[i], layers);
       for (uint32_t layer = range.first; layer < range.end; layer++)
         {
-          search->steps[next[layer]++]
-              = (struct step){ .cost_ms = INFINITY, .card = i, .from = NONE };
+          search->steps[next[layer]++] = (struct step){ .cost_ms = INFINITY,
+                                                        .engine = i,
+                                                        .previous = NO_STEP };
         }
     }
   g_free (next);
 }
 
-/* Notes INDEX in CHEAPEST if its step is cheaper.  */
+/* Sets CHEAPEST to the step INDEX if that is cheaper or the first one.  */
 static void
-note (const struct search *search, uint32_t index, uint32_t *cheapest)
+keep_cheaper (const struct search *search, uint32_t index, uint32_t *cheapest)
 {
-  if (*cheapest == NONE
+  if (*cheapest == NO_STEP
       || search->steps[index].cost_ms < search->steps[*cheapest].cost_ms)
     {
       *cheapest = index;
     }
 }
 
-/* Notes the steps of LAYER that the next layer may come from.  */
+/* Finds the steps of LAYER from which the next layer can continue: that of
+   each engine, and the cheapest ones.  */
 static void
-note_layer (struct search *search, uint32_t layer)
+index_layer (struct search *search, uint32_t layer)
 {
-  for (uint32_t i = search->first[layer > 0 ? layer - 1 : 0];
-       i < search->first[layer]; i++)
+  for (uint32_t i = search->first_steps[layer > 0 ? layer - 1 : 0];
+       i < search->first_steps[layer]; i++)
     {
-      search->last_step[search->steps[i].card] = NONE;
+      search->step_by_engine[search->steps[i].engine] = NO_STEP;
     }
-  search->cheapest = NONE;
+  search->cheapest = NO_STEP;
   for (uint32_t zone = 0; zone < search->zone_count; zone++)
     {
-      search->cheapest_in[zone] = NONE;
+      search->cheapest_by_zone[zone] = NO_STEP;
     }
-  for (uint32_t i = search->first[layer]; i < search->first[layer + 1]; i++)
+  for (uint32_t i = search->first_steps[layer];
+       i < search->first_steps[layer + 1]; i++)
     {
       const struct step *step = &search->steps[i];
       if (isfinite (step->cost_ms))
         {
-          search->last_step[step->card] = i;
-          note (search, i, &search->cheapest);
-          note (search, i,
-                &search->cheapest_in[search->cards[step->card].zone]);
+          search->step_by_engine[step->engine] = i;
+          keep_cheaper (search, i, &search->cheapest);
+          keep_cheaper (
+              search, i,
+              &search->cheapest_by_zone[search->engines[step->engine].zone]);
         }
     }
 }
 
-/* Lowers the cost of STEP to that of coming from the step FROM.  */
+/* Makes STEP continue from the step FROM, at a cost of HOP_MS, if that is
+   cheaper.  Does nothing if FROM is NO_STEP.  */
 static void
 relax (const struct search *search, uint32_t from, double hop_ms,
        struct step *step)
 {
-  if (from == NONE)
+  if (from == NO_STEP)
     {
       return;
     }
@@ -120,49 +135,53 @@
   if (cost < step->cost_ms)
     {
       step->cost_ms = cost;
-      step->from = from;
+      step->previous = from;
     }
 }
 
-/* Fills the steps of LAYER from those of the layer before.  */
+/* Computes the costs of the steps of LAYER from those of the previous
+   layer.  */
 static void
-advance (struct search *search, uint32_t layer)
+compute_layer (struct search *search, uint32_t layer)
 {
-  for (uint32_t i = search->first[layer]; i < search->first[layer + 1]; i++)
+  for (uint32_t i = search->first_steps[layer];
+       i < search->first_steps[layer + 1]; i++)
     {
       struct step *step = &search->steps[i];
-      const struct pth_card *card = &search->cards[step->card];
+      const struct pth_card *engine = &search->engines[step->engine];
       if (layer == 0)
         {
           step->cost_ms = 0;
         }
       else
         {
-          relax (search, search->last_step[step->card], 0, step);
-          relax (search, search->cheapest_in[card->zone],
+          relax (search, search->step_by_engine[step->engine], 0, step);
+          relax (search, search->cheapest_by_zone[engine->zone],
                  search->costs->hop_ms, step);
           relax (search, search->cheapest, search->costs->zone_hop_ms, step);
         }
-      step->cost_ms += card->layer_ms;
+      step->cost_ms += engine->layer_ms;
     }
-  note_layer (search, layer);
+  index_layer (search, layer);
 }
 
-/* Adds the run of LAYER on CARD to the front of PATH, which is built from its
-   end.  Returns false when it gets too long.  */
+/* Adds LAYER on ENGINE to PATH, whose layers are added from the last to the
+   first and whose parts are in reverse order.  Returns false when PATH would
+   have more than PTH_PARTS_MAX parts.  */
 static bool
-prepend (struct pth_path *path, uint32_t card, uint32_t layer)
+prepend_layer (struct pth_path *path, uint32_t engine, uint32_t layer)
 {
   struct pth_part *last = &path->parts[path->count > 0 ? path->count - 1 : 0];
-  if (path->count > 0 && last->card == card)
+  if (path->count > 0 && last->card == engine)
     {
       last->layers.first = layer;
       return true;
     }
-  /* An engine that comes twice runs everything between as well. */
+  /* An engine that occurs again also holds the layers in between: it runs them
+     too, and the parts between are dropped. */
   for (uint32_t i = 0; i < path->count; i++)
     {
-      if (path->parts[i].card == card)
+      if (path->parts[i].card == engine)
         {
           path->parts[i].layers.first = layer;
           path->count = i + 1;
@@ -174,14 +193,15 @@
       return false;
     }
   path->parts[path->count++] = (struct pth_part){
-    .card = card,
+    .card = engine,
     .layers = { .first = layer, .end = layer + 1 },
   };
   return true;
 }
 
+/* Reverses the parts of PATH.  */
 static void
-reverse (struct pth_path *path)
+reverse_parts (struct pth_path *path)
 {
   for (uint32_t i = 0; i < path->count / 2; i++)
     {
@@ -191,48 +211,49 @@
     }
 }
 
-/* Finds the cheapest path over the CARD_COUNT engines CARDS.  Returns false
-   when no path runs every layer.  */
+/* Sets PATH to the cheapest path over the ENGINE_COUNT engines ENGINES for the
+   model that COSTS describes.  Returns false, with an unusable PATH, when no
+   path runs every layer or the cheapest has more than PTH_PARTS_MAX parts.  */
 bool
-pth_find (const struct pth_costs *costs, const struct pth_card *cards,
-          uint32_t card_count, struct pth_path *path)
+pth_find (const struct pth_costs *costs, const struct pth_card *engines,
+          uint32_t engine_count, struct pth_path *path)
 {
   memset (path, 0, sizeof *path);
-  if (card_count == 0 || costs->layers == 0)
+  if (engine_count == 0 || costs->layers == 0)
     {
       return false;
     }
   struct search search = {
     .costs = costs,
-    .cards = cards,
-    .card_count = card_count,
-    .last_step = g_new (uint32_t, card_count),
+    .engines = engines,
+    .engine_count = engine_count,
+    .step_by_engine = g_new (uint32_t, engine_count),
   };
   make_steps (&search);
-  search.cheapest_in = g_new (uint32_t, search.zone_count);
-  for (uint32_t i = 0; i < card_count; i++)
+  search.cheapest_by_zone = g_new (uint32_t, search.zone_count);
+  for (uint32_t i = 0; i < engine_count; i++)
     {
-      search.last_step[i] = NONE;
+      search.step_by_engine[i] = NO_STEP;
     }
   for (uint32_t layer = 0; layer < costs->layers; layer++)
     {
-      advance (&search, layer);
+      compute_layer (&search, layer);
     }
-  uint32_t at = search.cheapest;
-  bool found = at != NONE;
+  uint32_t step = search.cheapest;
+  bool found = step != NO_STEP;
   if (found)
     {
-      path->token_ms = search.steps[at].cost_ms;
+      path->token_ms = search.steps[step].cost_ms;
     }
   for (uint32_t layer = costs->layers; found && layer > 0; layer--)
     {
-      found = prepend (path, search.steps[at].card, layer - 1);
-      at = search.steps[at].from;
+      found = prepend_layer (path, search.steps[step].engine, layer - 1);
+      step = search.steps[step].previous;
     }
-  reverse (path);
+  reverse_parts (path);
   g_free (search.steps);
-  g_free (search.first);
-  g_free (search.last_step);
-  g_free (search.cheapest_in);
+  g_free (search.first_steps);
+  g_free (search.step_by_engine);
+  g_free (search.cheapest_by_zone);
   return found;
 }
