--- a/src/core/tiling.c
+++ b/src/core/tiling.c
@@ -2,145 +2,150 @@
 
 #include <stdlib.h>
 
-/* What an order to an engine costs beside the layers that it loads, in
-   layers. */
+/* Cost of an order to an engine, in loaded layers; the layers that the engine
+   loads are added. */
 #define ORDER_COST 2
 
-/* Marks the layers that can't be reached. */
-#define NO_COST UINT32_MAX
+/* Cost of a cell that no choice of engines leads to. */
+#define UNREACHABLE UINT32_MAX
 
-/* How the cheapest way to hold all layers below one came about. */
+/* Dynamic programming: the cell of N engines and L layers is the cheapest way
+   in which the first N engines, by position, hold the layers below L. */
 struct cell
 {
-  uint32_t cost; /* layers loaded, and orders */
-  uint32_t from; /* layers below this one were held before the engine */
-  bool used;     /* the engine holds those from there on */
-  bool keeps;    /* ... with what it holds already */
+  uint32_t cost; /* in loaded layers, orders included */
+  uint32_t from; /* layers below this one are held without the last engine */
+  bool used;     /* the last engine holds the layers from `from' up to L */
+  bool keeps;    /* the last engine holds them already: no order */
 };
 
-struct division
+struct tiling
 {
   const struct til_engine *engines;
-  uint32_t *order; /* indexes of engines, by the layers that they hold */
-  uint32_t count;
+  uint32_t *order; /* indexes of engines, by position */
+  uint32_t count;  /* engines */
   uint32_t layers;
-  struct cell *cells; /* by engines that were looked at, then layers held */
+  struct cell *cells; /* by number of engines, then number of layers */
 };
 
 static struct cell *
-cell_at (const struct division *division, uint32_t looked_at, uint32_t layer)
+cell_at (const struct tiling *tiling, uint32_t engine_count, uint32_t layer)
 {
-  return &division->cells[(size_t)looked_at * (division->layers + 1) + layer];
+  return &tiling->cells[(size_t)engine_count * (tiling->layers + 1) + layer];
 }
 
 static uint32_t
-length (const struct rst_layers *range)
+layer_count (const struct rst_layers *range)
 {
   return range->end - range->first;
 }
 
-/* Returns where ENGINE stands among others.  */
+/* Returns the position by which ENGINE is sorted: twice the middle of the
+   layers that it holds.  */
 static uint32_t
 position (const struct til_engine *engine)
 {
   return engine->held.first + engine->held.end;
 }
 
-/* Sorts the engines by position; those at one position keep their order.  */
+/* Sorts the indexes of engines by position, stably.  */
 static void
-sort_engines (struct division *division)
+sort_engines (struct tiling *tiling)
 {
-  for (uint32_t i = 0; i < division->count; i++)
+  for (uint32_t i = 0; i < tiling->count; i++)
     {
-      uint32_t place = i;
-      while (place > 0
-             && position (&division->engines[division->order[place - 1]])
-                    > position (&division->engines[i]))
+      uint32_t slot = i;
+      while (slot > 0
+             && position (&tiling->engines[tiling->order[slot - 1]])
+                    > position (&tiling->engines[i]))
         {
-          division->order[place] = division->order[place - 1];
-          place--;
+          tiling->order[slot] = tiling->order[slot - 1];
+          slot--;
         }
-      division->order[place] = i;
+      tiling->order[slot] = i;
     }
 }
 
-/* Lowers the cost of holding the layers below TO after LOOKED_AT engines to
-   that of STEP.  */
+/* Sets the cell of ENGINE_COUNT engines and LAYER layers to CANDIDATE if that
+   is cheaper.  */
 static void
-relax (struct division *division, uint32_t looked_at, uint32_t to,
-       const struct cell *step)
+relax (struct tiling *tiling, uint32_t engine_count, uint32_t layer,
+       const struct cell *candidate)
 {
-  struct cell *cell = cell_at (division, looked_at, to);
-  if (step->cost < cell->cost)
+  struct cell *cell = cell_at (tiling, engine_count, layer);
+  if (candidate->cost < cell->cost)
     {
-      *cell = *step;
+      *cell = *candidate;
     }
 }
 
-/* Returns the number of layers of RANGE that HELD lacks.  */
+/* Returns the number of layers in RANGE that are not in HELD.  */
 static uint32_t
 count_new (const struct rst_layers *range, const struct rst_layers *held)
 {
   uint32_t first = MAX (range->first, held->first);
   uint32_t end = MIN (range->end, held->end);
-  return length (range) - (end > first ? end - first : 0);
+  return layer_count (range) - (end > first ? end - first : 0);
 }
 
-/* Takes the engine after the first LOOKED_AT ones, the layers below HELD being
-   held.  */
+/* Extends the cell of ENGINE_COUNT engines and COVERED layers by the next
+   engine: the engine is not used, keeps its layers, or gets an order to hold
+   the layers that follow.  */
 static void
-extend (struct division *division, uint32_t looked_at, uint32_t held)
+extend (struct tiling *tiling, uint32_t engine_count, uint32_t covered)
 {
   const struct til_engine *engine
-      = &division->engines[division->order[looked_at]];
-  uint32_t cost = cell_at (division, looked_at, held)->cost;
-  relax (division, looked_at + 1, held,
-         &(struct cell){ .cost = cost, .from = held });
-  bool fits = !engine->movable || length (&engine->held) <= engine->layers_max;
-  if (fits && engine->held.first <= held && held < engine->held.end)
+      = &tiling->engines[tiling->order[engine_count]];
+  uint32_t cost = cell_at (tiling, engine_count, covered)->cost;
+  relax (tiling, engine_count + 1, covered,
+         &(struct cell){ .cost = cost, .from = covered });
+  bool fits
+      = !engine->movable || layer_count (&engine->held) <= engine->layers_max;
+  if (fits && engine->held.first <= covered && covered < engine->held.end)
     {
-      relax (division, looked_at + 1, MIN (engine->held.end, division->layers),
+      relax (tiling, engine_count + 1, MIN (engine->held.end, tiling->layers),
              &(struct cell){
-                 .cost = cost, .from = held, .used = true, .keeps = true });
+                 .cost = cost, .from = covered, .used = true, .keeps = true });
     }
-  for (uint32_t more = 1; engine->movable && more <= engine->layers_max
-                          && held + more <= division->layers;
-       more++)
+  for (uint32_t length = 1; engine->movable && length <= engine->layers_max
+                            && covered + length <= tiling->layers;
+       length++)
     {
-      struct rst_layers range = { held, held + more };
-      uint32_t price = ORDER_COST + count_new (&range, &engine->held);
-      relax (
-          division, looked_at + 1, range.end,
-          &(struct cell){ .cost = cost + price, .from = held, .used = true });
+      struct rst_layers range = { covered, covered + length };
+      uint32_t order_cost = ORDER_COST + count_new (&range, &engine->held);
+      relax (tiling, engine_count + 1, range.end,
+             &(struct cell){
+                 .cost = cost + order_cost, .from = covered, .used = true });
     }
 }
 
-/* Follows the cheapest way back and writes it into WANTED.  */
+/* Writes the layers of each engine that gets an order into WANTED, following
+   the cheapest way back from the last cell.  */
 static void
-follow_back (const struct division *division, struct rst_layers *wanted)
+trace_back (const struct tiling *tiling, struct rst_layers *wanted)
 {
-  uint32_t held = division->layers;
-  for (uint32_t looked_at = division->count; looked_at > 0; looked_at--)
+  uint32_t covered = tiling->layers;
+  for (uint32_t engine_count = tiling->count; engine_count > 0; engine_count--)
     {
-      const struct cell *cell = cell_at (division, looked_at, held);
-      uint32_t engine = division->order[looked_at - 1];
+      const struct cell *cell = cell_at (tiling, engine_count, covered);
+      uint32_t engine = tiling->order[engine_count - 1];
       if (cell->used && !cell->keeps)
         {
-          wanted[engine] = (struct rst_layers){ cell->from, held };
+          wanted[engine] = (struct rst_layers){ cell->from, covered };
         }
-      held = cell->from;
+      covered = cell->from;
     }
 }
 
-/* Finds the division of LAYERS layers among the COUNT ENGINES that loads the
-   fewest.  WANTED, one for each engine, is the result: engines that aren't
-   needed, or not elsewhere, keep what they hold.  Returns false, and leaves
-   WANTED alone, when there is none.  */
+/* Divides LAYERS layers among the COUNT engines ENGINES at the lowest cost in
+   loaded layers and orders.  Sets WANTED, by engine, to the layers that each
+   is to hold; engines that need no order keep theirs.  Returns false, and
+   leaves WANTED as is, when the engines can't hold all layers.  */
 bool
 til_divide (const struct til_engine *engines, uint32_t count, uint32_t layers,
             struct rst_layers *wanted)
 {
-  struct division division = {
+  struct tiling tiling = {
     .engines = engines,
     .order = g_new0 (uint32_t, count + 1),
     .count = count,
@@ -149,30 +154,30 @@
   };
   for (size_t i = 0; i < (size_t)(count + 1) * (layers + 1); i++)
     {
-      division.cells[i] = (struct cell){ .cost = NO_COST };
+      tiling.cells[i] = (struct cell){ .cost = UNREACHABLE };
     }
-  sort_engines (&division);
-  cell_at (&division, 0, 0)->cost = 0;
-  for (uint32_t looked_at = 0; looked_at < count; looked_at++)
+  sort_engines (&tiling);
+  cell_at (&tiling, 0, 0)->cost = 0;
+  for (uint32_t engine_count = 0; engine_count < count; engine_count++)
     {
-      for (uint32_t held = 0; held <= layers; held++)
+      for (uint32_t covered = 0; covered <= layers; covered++)
         {
-          if (cell_at (&division, looked_at, held)->cost != NO_COST)
+          if (cell_at (&tiling, engine_count, covered)->cost != UNREACHABLE)
             {
-              extend (&division, looked_at, held);
+              extend (&tiling, engine_count, covered);
             }
         }
     }
-  bool found = cell_at (&division, count, layers)->cost != NO_COST;
+  bool found = cell_at (&tiling, count, layers)->cost != UNREACHABLE;
   if (found)
     {
       for (uint32_t i = 0; i < count; i++)
         {
           wanted[i] = engines[i].held;
         }
-      follow_back (&division, wanted);
+      trace_back (&tiling, wanted);
     }
-  g_free (division.order);
-  g_free (division.cells);
+  g_free (tiling.order);
+  g_free (tiling.cells);
   return found;
 }
--- a/src/core/tiling.h
+++ b/src/core/tiling.h
@@ -1,6 +1,9 @@
 /* Divides the layers of a model among engines that hold some of them already.
-   Answers the load of losses that nobody repeats: the engines that are left
-   move as little as possible, and none fills up while others have room. */
+
+   When engines are lost whose layers no other engine holds, the remaining
+   engines take over their layers.  The division that loads the fewest layers
+   is chosen, within a limit on the layers of each engine, so that none runs
+   out of memory while others have some left. */
 #ifndef CORE_TILING_H
 #define CORE_TILING_H
 
@@ -8,9 +11,9 @@
 
 struct til_engine
 {
-  struct rst_layers held; /* an empty one tells where the engine may stand */
-  uint32_t layers_max;    /* that it may hold */
-  bool movable;
+  struct rst_layers held; /* if empty, only its position is used */
+  uint32_t layers_max;    /* layers that the engine may hold */
+  bool movable;           /* may get an order to hold other layers */
 };
 
 bool til_divide (const struct til_engine *engines, uint32_t count,
