--- a/src/core/roster.c
+++ b/src/core/roster.c
@@ -2,23 +2,25 @@
 
 #include <string.h>
 
-/* How long the list may take to name living endpoints again after an outage;
-   the platform states two seconds. */
-#define RETURN_GRACE_US (2300 * INT64_C (1000))
+/* Time that the list may take to name running endpoints again after an outage.
+   The platform states two seconds. */
+#define RELIST_GRACE_US (2300 * INT64_C (1000))
 
+/* What is known of one endpoint id.  The entry of a removed endpoint is kept,
+   so that older records about it are recognised. */
 struct entry
 {
-  struct rst_endpoint *endpoint; /* NULL: known to be gone */
+  struct rst_endpoint *endpoint; /* NULL: removed */
   uint64_t offset;               /* of the newest record about it */
-  int64_t gone_at_us;            /* when it stops being used; 0: not set */
-  bool named;                    /* seen in the full reading under way */
+  int64_t expires_at_us;         /* time of its removal; 0: not due */
+  bool named;                    /* by the full read in progress */
 };
 
 struct rst
 {
-  GHashTable *entries; /* id to struct entry */
-  bool in_outage;      /* the list can't be read now */
-  int64_t regained_us; /* end of the latest outage; 0: none */
+  GHashTable *entries;  /* id to struct entry */
+  bool in_outage;       /* the list can't be read now */
+  int64_t recovered_us; /* end of the latest outage; 0: none */
 };
 
 static void
@@ -29,7 +31,7 @@
   g_free (entry);
 }
 
-/* Creates an empty roster.  */
+/* Returns an empty roster.  The caller frees it with rst_destroy.  */
 struct rst *
 rst_create (void)
 {
@@ -39,7 +41,7 @@
   return roster;
 }
 
-/* Frees ROSTER and its endpoints.  */
+/* Frees ROSTER, which may be NULL, and its endpoints.  */
 void
 rst_destroy (struct rst *roster)
 {
@@ -50,7 +52,7 @@
     }
 }
 
-/* Frees ENDPOINT and its strings.  */
+/* Frees ENDPOINT, which may be NULL, and its strings.  */
 void
 rst_endpoint_destroy (struct rst_endpoint *endpoint)
 {
@@ -66,7 +68,8 @@
   g_free (endpoint);
 }
 
-/* Returns a copy of ENDPOINT.  */
+/* Returns a copy of ENDPOINT and its strings.  The caller frees it with
+   rst_endpoint_destroy.  */
 struct rst_endpoint *
 rst_endpoint_copy (const struct rst_endpoint *endpoint)
 {
@@ -79,7 +82,7 @@
   return copy;
 }
 
-/* Returns the entry of ID, made at need.  */
+/* Returns the entry of ID, which is created if it does not exist.  */
 static struct entry *
 find_or_add (struct rst *roster, const char *id)
 {
@@ -92,9 +95,10 @@
   return entry;
 }
 
-/* Returns true when routing sees no difference between A and B.  */
+/* Returns whether A and B are the same for routing.  A may be NULL, which
+   differs from any B.  */
 static bool
-same (const struct rst_endpoint *a, const struct rst_endpoint *b)
+is_same (const struct rst_endpoint *a, const struct rst_endpoint *b)
 {
   return a != NULL && strcmp (a->service, b->service) == 0
          && strcmp (a->address, b->address) == 0
@@ -105,9 +109,10 @@
          && a->layers.end == b->layers.end;
 }
 
-/* Takes what ENDPOINT, owned from now on, says of itself in the record at
-   OFFSET.  Records older than the newest one about it change nothing.
-   Returns true when routing may change.  */
+/* Replaces what is known of an endpoint by ENDPOINT, which comes from the
+   record at OFFSET.  Takes ownership of ENDPOINT and ignores it if a newer
+   record about the endpoint was taken before.  Returns true when routing may
+   change.  */
 bool
 rst_take (struct rst *roster, struct rst_endpoint *endpoint, uint64_t offset)
 {
@@ -118,44 +123,47 @@
       rst_endpoint_destroy (endpoint);
       return false;
     }
-  /* A leaving endpoint of one incarnation never comes back. */
+  /* An incarnation that has started to leave never gets requests again. */
   if (entry->endpoint != NULL && entry->endpoint->leaving
       && entry->endpoint->born_ms == endpoint->born_ms)
     {
       endpoint->leaving = true;
     }
-  bool changed = !same (entry->endpoint, endpoint) || entry->gone_at_us != 0;
+  bool changed
+      = !is_same (entry->endpoint, endpoint) || entry->expires_at_us != 0;
   rst_endpoint_destroy (entry->endpoint);
   entry->endpoint = endpoint;
   entry->offset = offset;
-  entry->gone_at_us = 0;
+  entry->expires_at_us = 0;
   return changed;
 }
 
-/* Ends the use of ENTRY, at once or, near an outage, when the list had time to
-   name it again.  Returns true when it ended.  */
+/* Removes the endpoint of ENTRY.  Within RELIST_GRACE_US of the end of an
+   outage, only schedules the removal for the end of that time, unless the
+   endpoint is leaving.  Returns true when the endpoint was removed now.  */
 static bool
-end_use (struct rst *roster, struct entry *entry, int64_t now_us)
+remove_endpoint (struct rst *roster, struct entry *entry, int64_t now_us)
 {
   if (entry->endpoint == NULL)
     {
       return false;
     }
-  int64_t grace_end_us = roster->regained_us + RETURN_GRACE_US;
-  if (!entry->endpoint->leaving && roster->regained_us != 0
+  int64_t grace_end_us = roster->recovered_us + RELIST_GRACE_US;
+  if (!entry->endpoint->leaving && roster->recovered_us != 0
       && now_us < grace_end_us)
     {
-      entry->gone_at_us = grace_end_us;
+      entry->expires_at_us = grace_end_us;
       return false;
     }
   rst_endpoint_destroy (entry->endpoint);
   entry->endpoint = NULL;
-  entry->gone_at_us = 0;
+  entry->expires_at_us = 0;
   return true;
 }
 
-/* Takes the removal of ID by the record at OFFSET.  Returns true when routing
-   changes now; rst_tick tells of removals that wait.  */
+/* Handles the record at OFFSET that removes the endpoint ID.  Ignores the
+   record if a newer one about the endpoint was taken before.  Returns true
+   when routing changes now; rst_tick reports removals that are delayed.  */
 bool
 rst_remove (struct rst *roster, const char *id, uint64_t offset,
             int64_t now_us)
@@ -166,10 +174,10 @@
       return false;
     }
   entry->offset = offset;
-  return end_use (roster, entry, now_us);
+  return remove_endpoint (roster, entry, now_us);
 }
 
-/* Begins a reading of the whole list.  */
+/* Begins a full read of the list.  */
 void
 rst_begin_full (struct rst *roster)
 {
@@ -182,8 +190,9 @@
     }
 }
 
-/* Ends a reading of the whole list, which began when the list ended at
-   OFFSET: what it didn't name is gone.  Returns true when routing changes.  */
+/* Ends a full read of the list, which began when the list ended at OFFSET:
+   removes the endpoints that the read did not name and that have no newer
+   record.  Returns true when routing changes now.  */
 bool
 rst_end_full (struct rst *roster, uint64_t offset, int64_t now_us)
 {
@@ -196,33 +205,34 @@
       struct entry *entry = value;
       if (!entry->named && entry->offset < offset)
         {
-          changed |= end_use (roster, entry, now_us);
+          changed |= remove_endpoint (roster, entry, now_us);
         }
     }
   return changed;
 }
 
-/* Notes that the list can't be read.  */
+/* Records that the list can't be read.  Until it can be, no endpoint is
+   removed by rst_tick.  */
 void
 rst_outage (struct rst *roster)
 {
   roster->in_outage = true;
 }
 
-/* Notes that the list was read.  The first reading after an outage starts the
-   time in which endpoints may be named again.  */
+/* Records that the list was read.  The first read after an outage starts the
+   time in which the list may name endpoints again.  */
 void
 rst_contact (struct rst *roster, int64_t now_us)
 {
   if (roster->in_outage)
     {
       roster->in_outage = false;
-      roster->regained_us = now_us;
+      roster->recovered_us = now_us;
     }
 }
 
-/* Ends the use of endpoints whose time to be named again is over.  Returns
-   true when routing changes.  */
+/* Removes the endpoints whose delayed removal is due.  Returns true when
+   routing changes.  */
 bool
 rst_tick (struct rst *roster, int64_t now_us)
 {
@@ -237,11 +247,11 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct entry *entry = value;
-      if (entry->gone_at_us != 0 && now_us >= entry->gone_at_us)
+      if (entry->expires_at_us != 0 && now_us >= entry->expires_at_us)
         {
           rst_endpoint_destroy (entry->endpoint);
           entry->endpoint = NULL;
-          entry->gone_at_us = 0;
+          entry->expires_at_us = 0;
           changed = true;
         }
     }
@@ -256,8 +266,8 @@
   return strcmp ((*left)->id, (*right)->id);
 }
 
-/* Returns copies of all endpoints that aren't gone, sorted by id; the array
-   owns them.  */
+/* Returns copies of all endpoints in use, sorted by id.  The caller frees the
+   array, which owns the copies.  */
 GPtrArray *
 rst_list (struct rst *roster)
 {
--- a/src/core/roster.h
+++ b/src/core/roster.h
@@ -1,7 +1,10 @@
-/* The endpoints that may get work, as the platform's list tells of them.
-   Answers the loads of releases, scale-ins and outages of the list: an
-   endpoint that leaves gets no new work, one that was only forgotten while the
-   list was away stays in use until the list had time to name it again. */
+/* The endpoints that may get requests, as the platform's list describes them.
+   The list is a log whose records have offsets.
+
+   An endpoint that leaves, as in a release or a scale-in, is marked so that it
+   gets no new requests.  An endpoint that is missing from the list shortly
+   after an outage of the list stays in use until the list had time to name it
+   again. */
 #ifndef CORE_ROSTER_H
 #define CORE_ROSTER_H
 
@@ -9,27 +12,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* A range of consecutive layers. */
 struct rst_layers
 {
   uint32_t first;
-  uint32_t end; /* one past the last layer; equal to first: none */
+  uint32_t end; /* one past the last layer; equal to `first' if empty */
 };
 
-/* One endpoint as it describes itself.  Strings are owned. */
+/* An endpoint as it describes itself in its record.  Owns its strings. */
 struct rst_endpoint
 {
   char *id;
   char *service;
   char *address; /* IP:PORT */
   char *data_centre;
-  char *kind; /* of accelerator; NULL for plain services */
-  uint32_t slots;
-  bool leaving;
-  int64_t born_ms; /* start of this incarnation; 0 where it isn't told */
-  struct rst_layers layers;
-  bool busy; /* an order is under way */
+  char *kind;      /* of accelerator; NULL for services without engines */
+  uint32_t slots;  /* requests that it runs at once */
+  bool leaving;    /* shuts down, and gets no new requests */
+  int64_t born_ms; /* start time of this incarnation; 0: unknown */
+  struct rst_layers layers; /* held */
+  bool busy;                /* carries out an order to load layers */
 };
 
+/* All endpoints in use, and what is known of removed ones. */
 struct rst;
 
 struct rst *rst_create (void);
