--- a/test/placement_test.c
+++ b/test/placement_test.c
@@ -13,6 +13,7 @@
 #define MODELS_MAX 3
 #define DATA_CENTRES 3
 
+/* Hosts with the same speed and memory. */
 struct kind
 {
   uint32_t count;
@@ -20,30 +21,32 @@
   uint32_t memory_mib;
 };
 
+/* A fleet whose hosts are spread evenly over the data centres, and what a plan
+   for it must reach. */
 struct fleet_case
 {
   const char *name;
   struct cfg_model models[MODELS_MAX];
   struct kind kinds[KINDS_MAX];
-  double least_share;  /* of the compute-only bound */
-  uint32_t most_loads; /* after the loss of any one host */
-  bool data_centre;    /* any one may be lost */
+  double bound_share_min; /* fraction of the compute-only bound */
+  uint32_t loads_max;     /* ranges loaded after the loss of any one host */
+  bool survives_data_centre_loss;
 };
 
 static const struct fleet_case fleet_cases[] = {
-  { "six equal engines, three ranges",
+  { "six equal hosts that hold a third each",
     { { .layers = 24, .layer_memory_mib = 100 } },
     { { 6, 24000, 800 } },
     0.999,
     0,
     true },
-  { "each engine holds all",
+  { "each host can hold the whole model",
     { { .layers = 24, .layer_memory_mib = 100 } },
     { { 3, 24000, 2400 } },
     0.999,
     0,
     true },
-  { "four kinds, forty runners",
+  { "forty hosts of four kinds",
     { { .layers = 80, .layer_memory_mib = 1000 } },
     { { 10, 4000, 10000 },
       { 10, 8000, 16000 },
@@ -52,7 +55,7 @@
     0.95,
     4,
     true },
-  { "kinds that differ much in memory",
+  { "kinds that differ widely in memory",
     { { .layers = 49, .layer_memory_mib = 1155 } },
     { { 8, 1246, 3300 },
       { 8, 2491, 4000 },
@@ -61,7 +64,7 @@
     0.95,
     4,
     true },
-  { "three models by demand",
+  { "three models with different demand weights",
     { { .layers = 40, .layer_memory_mib = 500, .demand_weight = 3 },
       { .layers = 64, .layer_memory_mib = 800, .demand_weight = 1 },
       { .layers = 24, .layer_memory_mib = 300, .demand_weight = 2 } },
@@ -71,6 +74,7 @@
     true },
 };
 
+/* Returns a configuration with the models and hosts of ROW.  */
 static struct cfg_config *
 build_config (const struct fleet_case *row)
 {
@@ -106,6 +110,8 @@
   return config;
 }
 
+/* Asserts that the ranges in PLACEMENT are valid and that no host holds more
+   than its memory.  */
 static void
 assert_within_memory (const struct cfg_config *config,
                       const struct pl_placement *placement)
@@ -126,6 +132,8 @@
     }
 }
 
+/* Returns the rate that PLACEMENT allows as a fraction of the compute-only
+   bound, which it must not exceed.  */
 static double
 share_of_bound (const struct cfg_config *config, const bool *usable,
                 const struct pl_placement *placement)
@@ -137,10 +145,10 @@
   return bound.tokens_per_s / bound.compute_only_tokens_per_s;
 }
 
-/* Each fleet reaches its share of the compute-only bound within memory and
-   with a spare copy of each layer.  */
+/* A plan reaches the required fraction of the compute-only bound, fits into
+   memory and gives each layer its spare holders.  */
 static void
-plan_reaches_the_bound (void **state)
+test_plan_reaches_bound (void **state)
 {
   (void)state;
   for (size_t i = 0; i < sizeof fleet_cases / sizeof fleet_cases[0]; i++)
@@ -154,16 +162,16 @@
       print_message ("row: %s (%.4f)\n", row->name, share);
       assert_within_memory (config, placement);
       assert_int_equal (bound.uncovered, 0);
-      assert_true (share >= row->least_share);
+      assert_true (share >= row->bound_share_min);
       pl_destroy (placement);
       cfg_config_destroy (config);
     }
 }
 
-/* Without any one host every layer is still held before anything moves, and
-   the repair moves little.  */
+/* When any one host is lost, the remaining hosts still hold every layer, and a
+   new plan loads few ranges.  */
 static void
-any_one_host_may_go (void **state)
+test_host_loss (void **state)
 {
   (void)state;
   for (size_t i = 0; i < sizeof fleet_cases / sizeof fleet_cases[0]; i++)
@@ -183,7 +191,7 @@
           pl_count_moves (config, placement, after, &moves);
           assert_int_equal (after->hosts[lost].range_count, 0);
           assert_within_memory (config, after);
-          assert_true (moves.loads <= row->most_loads);
+          assert_true (moves.loads <= row->loads_max);
           pl_destroy (after);
         }
       g_free (usable);
@@ -192,9 +200,9 @@
     }
 }
 
-/* Without any one data centre every layer is still held.  */
+/* When any one data centre is lost, the others still hold every layer.  */
 static void
-any_one_data_centre_may_go (void **state)
+test_data_centre_loss (void **state)
 {
   (void)state;
   for (size_t i = 0; i < sizeof fleet_cases / sizeof fleet_cases[0]; i++)
@@ -204,7 +212,8 @@
       struct pl_placement *placement = pl_plan (config, NULL, NULL);
       bool *usable = g_new (bool, config->host_count);
       print_message ("row: %s\n", row->name);
-      for (uint32_t lost = 0; lost < DATA_CENTRES && row->data_centre; lost++)
+      for (uint32_t lost = 0;
+           lost < DATA_CENTRES && row->survives_data_centre_loss; lost++)
         {
           for (uint32_t j = 0; j < config->host_count; j++)
             {
@@ -218,9 +227,10 @@
     }
 }
 
-/* A plan from itself moves nothing, and a draining host holds nothing.  */
+/* Planning again from a plan moves nothing, and a draining host holds
+   nothing.  */
 static void
-plan_is_stable (void **state)
+test_plan_is_stable (void **state)
 {
   (void)state;
   for (size_t i = 0; i < sizeof fleet_cases / sizeof fleet_cases[0]; i++)
@@ -241,10 +251,10 @@
     }
 }
 
-/* Ranges that reach over each other's boundaries are bounded by the maximum
-   flow, and given up for a plan that is clearly better.  */
+/* The bound of ranges that extend across each other's boundaries is that of
+   the maximum flow.  A plan that is clearly better replaces them.  */
 static void
-unaligned_ranges_are_bounded_and_replaced (void **state)
+test_unaligned_ranges (void **state)
 {
   (void)state;
   struct cfg_config *config = build_config (&fleet_cases[0]);
@@ -260,7 +270,8 @@
     }
   struct pl_bound bound;
   pl_find_bound (config, NULL, placement, &bound);
-  /* 24000 layers a second over 8 layers, and over 12 at the end. */
+  /* 24000 layer-tokens/s give 3000 tokens/s over 8 layers and 2000 over the
+     last 12. */
   assert_true (fabs (bound.tokens_per_s - 5000.0) < 1e-3);
   struct pl_placement *planned = pl_plan (config, NULL, placement);
   assert_true (share_of_bound (config, NULL, planned) > 0.999);
@@ -269,9 +280,9 @@
   cfg_config_destroy (config);
 }
 
-/* A fleet without memory for the model gets a bound of 0, not a failure.  */
+/* A fleet that lacks the memory for the model gets a rate of 0.  */
 static void
-impossible_fleets (void **state)
+test_insufficient_memory (void **state)
 {
   (void)state;
   static const struct fleet_case rows[] = {
@@ -281,13 +292,13 @@
       0,
       0,
       false },
-    { "a layer larger than any engine",
+    { "a layer that fits on no host",
       { { .layers = 8, .layer_memory_mib = 1000 } },
       { { 4, 1000, 900 } },
       0,
       0,
       false },
-    { "too little memory in all",
+    { "too little memory in total",
       { { .layers = 64, .layer_memory_mib = 1000 } },
       { { 3, 1000, 8000 } },
       0,
@@ -308,9 +319,10 @@
     }
 }
 
-/* One more host adds rate, and more of it the faster it is.  */
+/* One more host raises the rate by no more than its own rate, and a fast host
+   raises it at least as much as a slow one.  */
 static void
-one_more_host_adds_rate (void **state)
+test_gain_of_kind (void **state)
 {
   (void)state;
   struct cfg_config *config = build_config (&fleet_cases[2]);
@@ -329,13 +341,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (plan_reaches_the_bound),
-    cmocka_unit_test (any_one_host_may_go),
-    cmocka_unit_test (any_one_data_centre_may_go),
-    cmocka_unit_test (plan_is_stable),
-    cmocka_unit_test (unaligned_ranges_are_bounded_and_replaced),
-    cmocka_unit_test (impossible_fleets),
-    cmocka_unit_test (one_more_host_adds_rate),
+    cmocka_unit_test (test_plan_reaches_bound),
+    cmocka_unit_test (test_host_loss),
+    cmocka_unit_test (test_data_centre_loss),
+    cmocka_unit_test (test_plan_is_stable),
+    cmocka_unit_test (test_unaligned_ranges),
+    cmocka_unit_test (test_insufficient_memory),
+    cmocka_unit_test (test_gain_of_kind),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
