--- a/test/roster_test.c
+++ b/test/roster_test.c
@@ -9,42 +9,46 @@
 
 #define S_US INT64_C (1000000)
 
-/* Creates an endpoint, as a record of the list describes it.  */
+/* Returns an endpoint as rst_take gets it.  */
 static struct rst_endpoint *
-endpoint (const char *id, int64_t born_ms, bool leaving)
+new_endpoint (const char *id, int64_t born_ms, bool leaving)
 {
-  struct rst_endpoint *made = g_new0 (struct rst_endpoint, 1);
-  made->id = g_strdup (id);
-  made->service = g_strdup ("draft");
-  made->address = g_strdup ("10.0.0.1:80");
-  made->data_centre = g_strdup ("kgn");
-  made->born_ms = born_ms;
-  made->leaving = leaving;
-  return made;
+  struct rst_endpoint *endpoint = g_new0 (struct rst_endpoint, 1);
+  endpoint->id = g_strdup (id);
+  endpoint->service = g_strdup ("draft");
+  endpoint->address = g_strdup ("10.0.0.1:80");
+  endpoint->data_centre = g_strdup ("kgn");
+  endpoint->born_ms = born_ms;
+  endpoint->leaving = leaving;
+  return endpoint;
 }
 
-enum act
+/* What happens to the endpoint, the list or the clock in one step. */
+enum action
 {
-  ACT_LIST,
-  ACT_LEAVE,
-  ACT_REMOVE,
-  ACT_OUTAGE,
-  ACT_CONTACT,
-  ACT_TICK,
-  ACT_FULL_WITHOUT /* a whole reading that doesn't name the endpoint */
+  ACTION_LIST,
+  ACTION_LEAVE,
+  ACTION_REMOVE,
+  ACTION_OUTAGE,
+  ACTION_CONTACT,
+  ACTION_TICK,
+  ACTION_EMPTY_FULL_READ /* a full read that does not name the endpoint */
 };
 
+/* An action, and the state of the endpoint afterwards. */
 struct step
 {
-  enum act act;
+  enum action action;
   uint64_t offset;
   int64_t at_us;
   int64_t born_ms;
-  const char *want; /* "used", "leaving" or "gone" */
+  const char *expected; /* "used", "leaving" or "gone" */
 };
 
 #define STEPS_MAX 8
 
+/* Steps on a roster with one endpoint.  A step without an expected state ends
+   them. */
 struct script
 {
   const char *name;
@@ -52,77 +56,84 @@
 };
 
 static const struct script scripts[] = {
-  { "an endpoint that leaves gets no work",
-    { { ACT_LIST, 1, 0, 1, "used" }, { ACT_LEAVE, 2, 0, 1, "leaving" } } },
-  { "a late record of before its leaving changes nothing",
-    { { ACT_LEAVE, 5, 0, 1, "leaving" }, { ACT_LIST, 4, 0, 1, "leaving" } } },
-  { "one incarnation doesn't come back from leaving",
-    { { ACT_LEAVE, 5, 0, 1, "leaving" }, { ACT_LIST, 6, 0, 1, "leaving" } } },
-  { "the next one does",
-    { { ACT_LEAVE, 5, 0, 1, "leaving" }, { ACT_LIST, 6, 0, 2, "used" } } },
-  { "a removal ends the use",
-    { { ACT_LIST, 1, 0, 1, "used" }, { ACT_REMOVE, 2, S_US, 1, "gone" } } },
-  { "an outage of the list alone ends nothing",
-    { { ACT_LIST, 1, 0, 1, "used" },
-      { ACT_OUTAGE, 0, S_US, 1, "used" },
-      { ACT_TICK, 0, 60 * S_US, 1, "used" } } },
-  { "an entry that lapsed in an outage may come back",
-    { { ACT_LIST, 1, 0, 1, "used" },
-      { ACT_OUTAGE, 0, S_US, 1, "used" },
-      { ACT_CONTACT, 0, 9 * S_US, 1, "used" },
-      { ACT_REMOVE, 2, 9 * S_US, 1, "used" },
-      { ACT_LIST, 3, 10 * S_US, 1, "used" },
-      { ACT_TICK, 0, 20 * S_US, 1, "used" } } },
-  { "one that doesn't is gone",
-    { { ACT_LIST, 1, 0, 1, "used" },
-      { ACT_OUTAGE, 0, S_US, 1, "used" },
-      { ACT_CONTACT, 0, 9 * S_US, 1, "used" },
-      { ACT_REMOVE, 2, 9 * S_US, 1, "used" },
-      { ACT_TICK, 0, 12 * S_US, 1, "gone" } } },
-  { "a whole reading after an outage that misses it leaves it time, too",
-    { { ACT_LIST, 1, 0, 1, "used" },
-      { ACT_OUTAGE, 0, S_US, 1, "used" },
-      { ACT_CONTACT, 0, 9 * S_US, 1, "used" },
-      { ACT_FULL_WITHOUT, 7, 9 * S_US, 1, "used" },
-      { ACT_TICK, 0, 12 * S_US, 1, "gone" } } },
-  { "a whole reading without an outage doesn't",
-    { { ACT_LIST, 1, 0, 1, "used" },
-      { ACT_FULL_WITHOUT, 7, 9 * S_US, 1, "gone" } } },
+  { "an endpoint that leaves is marked",
+    { { ACTION_LIST, 1, 0, 1, "used" },
+      { ACTION_LEAVE, 2, 0, 1, "leaving" } } },
+  { "a record older than the one of leaving is ignored",
+    { { ACTION_LEAVE, 5, 0, 1, "leaving" },
+      { ACTION_LIST, 4, 0, 1, "leaving" } } },
+  { "an incarnation that leaves stays marked",
+    { { ACTION_LEAVE, 5, 0, 1, "leaving" },
+      { ACTION_LIST, 6, 0, 1, "leaving" } } },
+  { "the next incarnation is in use",
+    { { ACTION_LEAVE, 5, 0, 1, "leaving" },
+      { ACTION_LIST, 6, 0, 2, "used" } } },
+  { "a removal takes effect at once",
+    { { ACTION_LIST, 1, 0, 1, "used" },
+      { ACTION_REMOVE, 2, S_US, 1, "gone" } } },
+  { "an outage of the list removes no endpoint",
+    { { ACTION_LIST, 1, 0, 1, "used" },
+      { ACTION_OUTAGE, 0, S_US, 1, "used" },
+      { ACTION_TICK, 0, 60 * S_US, 1, "used" } } },
+  { "an endpoint removed in an outage may be named again",
+    { { ACTION_LIST, 1, 0, 1, "used" },
+      { ACTION_OUTAGE, 0, S_US, 1, "used" },
+      { ACTION_CONTACT, 0, 9 * S_US, 1, "used" },
+      { ACTION_REMOVE, 2, 9 * S_US, 1, "used" },
+      { ACTION_LIST, 3, 10 * S_US, 1, "used" },
+      { ACTION_TICK, 0, 20 * S_US, 1, "used" } } },
+  { "an endpoint that is not named again is removed",
+    { { ACTION_LIST, 1, 0, 1, "used" },
+      { ACTION_OUTAGE, 0, S_US, 1, "used" },
+      { ACTION_CONTACT, 0, 9 * S_US, 1, "used" },
+      { ACTION_REMOVE, 2, 9 * S_US, 1, "used" },
+      { ACTION_TICK, 0, 12 * S_US, 1, "gone" } } },
+  { "a full read after an outage delays the removal as well",
+    { { ACTION_LIST, 1, 0, 1, "used" },
+      { ACTION_OUTAGE, 0, S_US, 1, "used" },
+      { ACTION_CONTACT, 0, 9 * S_US, 1, "used" },
+      { ACTION_EMPTY_FULL_READ, 7, 9 * S_US, 1, "used" },
+      { ACTION_TICK, 0, 12 * S_US, 1, "gone" } } },
+  { "a full read without an outage removes at once",
+    { { ACTION_LIST, 1, 0, 1, "used" },
+      { ACTION_EMPTY_FULL_READ, 7, 9 * S_US, 1, "gone" } } },
 };
 
+/* Applies the action of STEP to ROSTER.  */
 static void
-apply (struct rst *roster, const struct step *step)
+apply_step (struct rst *roster, const struct step *step)
 {
-  switch (step->act)
+  switch (step->action)
     {
-    case ACT_LIST:
-      rst_take (roster, endpoint ("a", step->born_ms, false), step->offset);
+    case ACTION_LIST:
+      rst_take (roster, new_endpoint ("a", step->born_ms, false),
+                step->offset);
       break;
-    case ACT_LEAVE:
-      rst_take (roster, endpoint ("a", step->born_ms, true), step->offset);
+    case ACTION_LEAVE:
+      rst_take (roster, new_endpoint ("a", step->born_ms, true), step->offset);
       break;
-    case ACT_REMOVE:
+    case ACTION_REMOVE:
       rst_remove (roster, "a", step->offset, step->at_us);
       break;
-    case ACT_OUTAGE:
+    case ACTION_OUTAGE:
       rst_outage (roster);
       break;
-    case ACT_CONTACT:
+    case ACTION_CONTACT:
       rst_contact (roster, step->at_us);
       break;
-    case ACT_TICK:
+    case ACTION_TICK:
       rst_tick (roster, step->at_us);
       break;
-    case ACT_FULL_WITHOUT:
+    case ACTION_EMPTY_FULL_READ:
       rst_begin_full (roster);
       rst_end_full (roster, step->offset, step->at_us);
       break;
     }
 }
 
-/* Returns what ROSTER says of its only endpoint.  */
+/* Returns "used", "leaving" or "gone" for the only endpoint of ROSTER.  */
 static const char *
-describe (struct rst *roster)
+endpoint_state (struct rst *roster)
 {
   GPtrArray *list = rst_list (roster);
   const char *text = "gone";
@@ -135,21 +146,24 @@
   return text;
 }
 
+/* Endpoints that leave, are removed, or are missing after an outage of the
+   list: the state of the endpoint is as expected after each step.  */
 static void
-test_scripts (void **state)
+test_endpoint_states (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (scripts); i++)
     {
       struct rst *roster = rst_create ();
-      for (size_t n = 0; n < STEPS_MAX && scripts[i].steps[n].want != NULL;
+      for (size_t n = 0; n < STEPS_MAX && scripts[i].steps[n].expected != NULL;
            n++)
         {
-          apply (roster, &scripts[i].steps[n]);
-          if (strcmp (describe (roster), scripts[i].steps[n].want) != 0)
+          apply_step (roster, &scripts[i].steps[n]);
+          if (strcmp (endpoint_state (roster), scripts[i].steps[n].expected)
+              != 0)
             {
               fail_msg ("%s: step %zu: %s", scripts[i].name, n,
-                        describe (roster));
+                        endpoint_state (roster));
             }
         }
       rst_destroy (roster);
@@ -160,7 +174,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_scripts),
+    cmocka_unit_test (test_endpoint_states),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
