--- a/test/stages_test.c
+++ b/test/stages_test.c
@@ -12,10 +12,11 @@
 #include <string.h>
 
 #define LAYERS 80
-#define CARDS_MAX 64
+#define ENGINES_MAX 64
 
-/* An engine of 80 layers of 1,750 MB, as the users describe theirs. */
-static const struct flt_engine engine = {
+/* A model of 80 layers of 1,750 MB each and its engines, with the figures of
+   the users' sites. */
+static const struct flt_engine spec = {
   .slots = 192,
   .cache_tokens_max = 100000,
   .cache_token_bytes = 426000,
@@ -26,6 +27,7 @@
   .usual_answer_tokens = 150,
 };
 
+/* A kind of accelerator. */
 struct kind
 {
   double memory_mb;
@@ -36,8 +38,8 @@
 static const struct kind l4 = { 21600, 16 };
 static const struct kind t4 = { 14400, 15 };
 
-/* Engines of each kind in one data centre. */
-struct zone_row
+/* Number of engines of each kind in one data centre. */
+struct zone_counts
 {
   uint32_t a100s;
   uint32_t l4;
@@ -46,18 +48,20 @@
 
 struct fleet
 {
-  struct stp_card cards[CARDS_MAX];
+  struct stp_card engines[ENGINES_MAX];
   uint32_t count;
   uint32_t zones;
 };
 
+/* Adds COUNT movable engines of KIND in ZONE to FLEET.  They hold no layers.
+ */
 static void
-add_cards (struct fleet *fleet, uint32_t zone, const struct kind *kind,
-           uint32_t count)
+add_engines (struct fleet *fleet, uint32_t zone, const struct kind *kind,
+             uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
     {
-      fleet->cards[fleet->count++] = (struct stp_card){
+      fleet->engines[fleet->count++] = (struct stp_card){
         .zone = zone,
         .memory_mb = kind->memory_mb,
         .step_factor = kind->step_factor,
@@ -66,41 +70,45 @@
     }
 }
 
+/* Builds FLEET from the engines of COUNT data centres.  */
 static void
-build (struct fleet *fleet, const struct zone_row *zones, uint32_t count)
+build_fleet (struct fleet *fleet, const struct zone_counts *zones,
+             uint32_t count)
 {
   *fleet = (struct fleet){ .zones = count };
   for (uint32_t zone = 0; zone < count; zone++)
     {
-      add_cards (fleet, zone, &a100s, zones[zone].a100s);
-      add_cards (fleet, zone, &l4, zones[zone].l4);
-      add_cards (fleet, zone, &t4, zones[zone].t4);
+      add_engines (fleet, zone, &a100s, zones[zone].a100s);
+      add_engines (fleet, zone, &l4, zones[zone].l4);
+      add_engines (fleet, zone, &t4, zones[zone].t4);
     }
 }
 
-/* Returns the least number of holders that a layer has in ZONE, or in all data
-   centres for UINT32_MAX.  */
+/* Returns the smallest number of holders of a layer in ZONE, or in all data
+   centres if ZONE is UINT32_MAX.  */
 static uint32_t
-least_holders (const struct fleet *fleet, const struct rst_layers *wanted,
-               uint32_t zone)
+fewest_holders (const struct fleet *fleet, const struct rst_layers *wanted,
+                uint32_t zone)
 {
   uint32_t holders[LAYERS] = { 0 };
   for (uint32_t i = 0; i < fleet->count; i++)
     {
       for (uint32_t layer = wanted[i].first; layer < wanted[i].end; layer++)
         {
-          holders[layer] += zone == UINT32_MAX || fleet->cards[i].zone == zone;
+          holders[layer]
+              += zone == UINT32_MAX || fleet->engines[i].zone == zone;
         }
     }
-  uint32_t least = UINT32_MAX;
+  uint32_t fewest = UINT32_MAX;
   for (uint32_t layer = 0; layer < LAYERS; layer++)
     {
-      least = holders[layer] < least ? holders[layer] : least;
+      fewest = holders[layer] < fewest ? holders[layer] : fewest;
     }
-  return least;
+  return fewest;
 }
 
-/* No engine holds more than its memory, with room for some requests.  */
+/* Asserts that the layers of each engine leave some of its memory for the KV
+   cache.  */
 static void
 assert_fits (const struct fleet *fleet, const struct rst_layers *wanted)
 {
@@ -108,21 +116,22 @@
     {
       uint32_t held = wanted[i].end - wanted[i].first;
       assert_true (wanted[i].end <= LAYERS);
-      assert_true (held * engine.layer_mb < fleet->cards[i].memory_mb);
+      assert_true (held * spec.layer_mb < fleet->engines[i].memory_mb);
     }
 }
 
-/* The two sites of the users, a data centre that can't hold the model alone,
-   and a fleet that can't at all.  */
+/* The first plan of a cold start holds every layer in each data centre with
+   enough memory.  The cases are the users' two sites, a data centre that can't
+   hold the model alone, and a fleet that can't hold it at all.  */
 static void
-test_plan_cold (void **state)
+test_plan_cold_start (void **state)
 {
   (void)state;
   static const struct
   {
-    struct zone_row zones[3];
-    uint32_t least_in[3]; /* holders of each layer in each data centre */
-    uint32_t least;       /* in all */
+    struct zone_counts zones[3];
+    uint32_t fewest_in[3]; /* holders of a layer, by data centre */
+    uint32_t fewest;       /* in all data centres */
   } rows[] = {
     { { { 1, 8, 5 }, { 3, 3, 5 }, { 1, 4, 8 } }, { 1, 1, 1 }, 3 },
     { { { 5, 0, 0 }, { 0, 8, 0 }, { 0, 0, 12 } }, { 1, 1, 1 }, 3 },
@@ -132,89 +141,91 @@
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
       struct fleet fleet;
-      struct rst_layers wanted[CARDS_MAX];
-      build (&fleet, rows[i].zones, 3);
-      stp_plan (&engine, STP_DIVIDE_ANEW, fleet.zones, fleet.cards,
+      struct rst_layers wanted[ENGINES_MAX];
+      build_fleet (&fleet, rows[i].zones, 3);
+      stp_plan (&spec, STP_DIVIDE_ANEW, fleet.zones, fleet.engines,
                 fleet.count, wanted);
       assert_fits (&fleet, wanted);
       for (uint32_t zone = 0; zone < 3; zone++)
         {
-          assert_true (least_holders (&fleet, wanted, zone)
-                       >= rows[i].least_in[zone]);
+          assert_true (fewest_holders (&fleet, wanted, zone)
+                       >= rows[i].fewest_in[zone]);
         }
-      assert_true (least_holders (&fleet, wanted, UINT32_MAX)
-                   >= rows[i].least);
+      assert_true (fewest_holders (&fleet, wanted, UINT32_MAX)
+                   >= rows[i].fewest);
     }
 }
 
-/* Takes over what WANTED says, so that a next plan starts from there.  */
+/* Makes the engines of FLEET hold the layers in WANTED.  */
 static void
-carry_out (struct fleet *fleet, const struct rst_layers *wanted)
+apply_plan (struct fleet *fleet, const struct rst_layers *wanted)
 {
   for (uint32_t i = 0; i < fleet->count; i++)
     {
-      fleet->cards[i].held = wanted[i];
+      fleet->engines[i].held = wanted[i];
     }
 }
 
+/* Planning again from a plan changes nothing.  */
 static void
-test_plan_stands (void **state)
+test_plan_is_stable (void **state)
 {
   (void)state;
-  static const struct zone_row zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
+  static const struct zone_counts zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
   struct fleet fleet;
-  struct rst_layers wanted[CARDS_MAX];
-  struct rst_layers again[CARDS_MAX];
-  build (&fleet, zones, 2);
-  stp_plan (&engine, STP_DIVIDE_ANEW, 2, fleet.cards, fleet.count, wanted);
-  carry_out (&fleet, wanted);
-  stp_plan (&engine, STP_DIVIDE_ANEW, 2, fleet.cards, fleet.count, again);
+  struct rst_layers wanted[ENGINES_MAX];
+  struct rst_layers again[ENGINES_MAX];
+  build_fleet (&fleet, zones, 2);
+  stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, wanted);
+  apply_plan (&fleet, wanted);
+  stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, again);
   assert_memory_equal (wanted, again, fleet.count * sizeof wanted[0]);
 }
 
-/* Any one engine that is lost, or comes back empty, is made up for with orders
-   to few others, and those that hold the only copy stay.  */
+/* When any one engine is lost, orders to at most four others give every layer
+   a holder in each data centre.  When it comes back empty, it gets layers, and
+   every layer has at least two holders.  */
 static void
-test_plan_loss (void **state)
+test_plan_engine_loss (void **state)
 {
   (void)state;
-  static const struct zone_row zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
+  static const struct zone_counts zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
   struct fleet fleet;
-  struct rst_layers wanted[CARDS_MAX];
-  build (&fleet, zones, 2);
-  stp_plan (&engine, STP_DIVIDE_ANEW, 2, fleet.cards, fleet.count, wanted);
-  carry_out (&fleet, wanted);
+  struct rst_layers wanted[ENGINES_MAX];
+  build_fleet (&fleet, zones, 2);
+  stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, wanted);
+  apply_plan (&fleet, wanted);
   for (uint32_t lost = 0; lost < fleet.count; lost++)
     {
       struct fleet after = fleet;
-      struct rst_layers next[CARDS_MAX];
+      struct rst_layers next[ENGINES_MAX];
       after.count--;
-      after.cards[lost] = fleet.cards[after.count];
-      stp_plan (&engine, STP_DIVIDE_ANEW, 2, after.cards, after.count, next);
+      after.engines[lost] = fleet.engines[after.count];
+      stp_plan (&spec, STP_DIVIDE_ANEW, 2, after.engines, after.count, next);
       assert_fits (&after, next);
       uint32_t moved = 0;
       for (uint32_t i = 0; i < after.count; i++)
         {
-          moved
-              += memcmp (&next[i], &after.cards[i].held, sizeof next[i]) != 0;
+          moved += memcmp (&next[i], &after.engines[i].held, sizeof next[i])
+                   != 0;
         }
       assert_true (moved <= 4);
       for (uint32_t zone = 0; zone < 2; zone++)
         {
-          assert_true (least_holders (&after, next, zone) >= 1);
+          assert_true (fewest_holders (&after, next, zone) >= 1);
         }
       struct fleet empty = fleet;
-      empty.cards[lost].held = (struct rst_layers){ 0, 0 };
-      stp_plan (&engine, STP_DIVIDE_ANEW, 2, empty.cards, empty.count, next);
+      empty.engines[lost].held = (struct rst_layers){ 0, 0 };
+      stp_plan (&spec, STP_DIVIDE_ANEW, 2, empty.engines, empty.count, next);
       assert_true (next[lost].end > next[lost].first);
-      assert_true (least_holders (&empty, next, UINT32_MAX) >= 2);
+      assert_true (fewest_holders (&empty, next, UINT32_MAX) >= 2);
     }
 }
 
-/* An engine that has just come may be the replacement of one that is about to
-   leave: it waits for the gap, and repeats layers only later.  */
+/* A new engine may be the replacement of one that is about to leave.  While it
+   is in reserve it only fills gaps, and replicates layers only afterwards.  */
 static void
-test_plan_newcomer (void **state)
+test_plan_new_engine (void **state)
 {
   (void)state;
   static const struct
@@ -228,48 +239,49 @@
     { false, false, true },
     { false, true, true },
   };
-  static const struct zone_row zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
+  static const struct zone_counts zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
   struct fleet fleet;
-  struct rst_layers wanted[CARDS_MAX];
-  build (&fleet, zones, 2);
-  stp_plan (&engine, STP_DIVIDE_ANEW, 2, fleet.cards, fleet.count, wanted);
-  carry_out (&fleet, wanted);
-  uint32_t leaving = 1; /* the first l4, which holds a part alone */
+  struct rst_layers wanted[ENGINES_MAX];
+  build_fleet (&fleet, zones, 2);
+  stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, wanted);
+  apply_plan (&fleet, wanted);
+  uint32_t leaving = 1; /* the first l4, the only holder of its layers */
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
       struct fleet after = fleet;
-      struct rst_layers next[CARDS_MAX];
+      struct rst_layers next[ENGINES_MAX];
       if (rows[i].one_leaves)
         {
           after.count--;
-          after.cards[leaving] = fleet.cards[after.count];
+          after.engines[leaving] = fleet.engines[after.count];
         }
-      uint32_t newcomer = after.count++;
-      after.cards[newcomer]
+      uint32_t new_engine = after.count++;
+      after.engines[new_engine]
           = (struct stp_card){ .zone = 0,
                                .memory_mb = l4.memory_mb,
                                .step_factor = l4.step_factor,
                                .movable = true,
                                .in_reserve = rows[i].in_reserve };
-      stp_plan (&engine, STP_DIVIDE_ANEW, 2, after.cards, after.count, next);
-      assert_int_equal (next[newcomer].end > next[newcomer].first,
+      stp_plan (&spec, STP_DIVIDE_ANEW, 2, after.engines, after.count, next);
+      assert_int_equal (next[new_engine].end > next[new_engine].first,
                         rows[i].gets_layers);
-      assert_true (least_holders (&after, next, 0) >= 1);
-      for (uint32_t card = 0; card < newcomer; card++)
+      assert_true (fewest_holders (&after, next, 0) >= 1);
+      for (uint32_t engine = 0; engine < new_engine; engine++)
         {
-          assert_memory_equal (&next[card], &after.cards[card].held,
-                               sizeof next[card]);
+          assert_memory_equal (&next[engine], &after.engines[engine].held,
+                               sizeof next[engine]);
         }
     }
 }
 
-/* Found in a large fleet: a fast engine that filled a gap of one layer held
-   nothing else from then on.  */
+/* An engine that fills a gap of few layers also holds as many layers beside it
+   as its memory allows.  In a large fleet, a fast engine that filled a gap of
+   one layer held nothing else from then on.  */
 static void
 test_plan_small_gap (void **state)
 {
   (void)state;
-  static const struct zone_row zones[] = { { 4, 0, 0 } };
+  static const struct zone_counts zones[] = { { 4, 0, 0 } };
   static const struct
   {
     uint32_t first;
@@ -278,51 +290,52 @@
   for (size_t i = 0; i < sizeof gaps / sizeof gaps[0]; i++)
     {
       struct fleet fleet;
-      struct rst_layers wanted[CARDS_MAX];
-      build (&fleet, zones, 1);
-      fleet.cards[0].held = (struct rst_layers){ 0, gaps[i].first };
-      fleet.cards[1].held = (struct rst_layers){ gaps[i].end, LAYERS };
-      fleet.cards[2].held = (struct rst_layers){ 0, gaps[i].first };
-      fleet.cards[0].memory_mb = 300000;
-      fleet.cards[1].memory_mb = 300000;
-      fleet.cards[2].memory_mb = 300000;
-      stp_plan (&engine, STP_SPARES, 1, fleet.cards, fleet.count, wanted);
+      struct rst_layers wanted[ENGINES_MAX];
+      build_fleet (&fleet, zones, 1);
+      fleet.engines[0].held = (struct rst_layers){ 0, gaps[i].first };
+      fleet.engines[1].held = (struct rst_layers){ gaps[i].end, LAYERS };
+      fleet.engines[2].held = (struct rst_layers){ 0, gaps[i].first };
+      fleet.engines[0].memory_mb = 300000;
+      fleet.engines[1].memory_mb = 300000;
+      fleet.engines[2].memory_mb = 300000;
+      stp_plan (&spec, STP_SPARES, 1, fleet.engines, fleet.count, wanted);
       assert_true (wanted[3].first <= gaps[i].first);
       assert_true (wanted[3].end >= gaps[i].end);
       assert_int_equal (wanted[3].end - wanted[3].first, 13);
     }
 }
 
-/* Returns the least memory of requests, in tokens, of an engine in ZONE that
-   holds layers.  */
+/* Returns the smallest KV cache, in tokens, of the engines in ZONE that hold
+   layers.  */
 static double
-least_cache (const struct fleet *fleet, uint32_t zone)
+smallest_cache (const struct fleet *fleet, uint32_t zone)
 {
-  double least = INFINITY;
+  double smallest = INFINITY;
   for (uint32_t i = 0; i < fleet->count; i++)
     {
-      const struct stp_card *card = &fleet->cards[i];
-      if (card->zone == zone && card->held.end > card->held.first)
+      const struct stp_card *engine = &fleet->engines[i];
+      if (engine->zone == zone && engine->held.end > engine->held.first)
         {
-          least = fmin (least,
-                        stp_cache_tokens (&engine, card->memory_mb,
-                                          card->held.end - card->held.first));
+          smallest
+              = fmin (smallest, stp_cache_tokens (&spec, engine->memory_mb,
+                                                  engine->held.end
+                                                      - engine->held.first));
         }
     }
-  return least;
+  return smallest;
 }
 
-/* A data centre that loses engine after engine still has room for requests on
-   each one that is left, rather than one that holds all that it can.  */
+/* A data centre that loses several engines keeps memory for a KV cache on each
+   of the others, instead of filling one of them up with layers.  */
 static void
-test_plan_keeps_room (void **state)
+test_plan_keeps_cache (void **state)
 {
   (void)state;
   static const struct
   {
-    struct zone_row zone;
+    struct zone_counts zone;
     uint32_t losses;
-    double room_tokens;
+    double cache_tokens;
   } rows[] = {
     { { 1, 8, 5 }, 1, 150000 }, { { 1, 8, 5 }, 2, 90000 },
     { { 1, 8, 5 }, 3, 60000 },  { { 3, 3, 5 }, 1, 60000 },
@@ -330,57 +343,58 @@
   };
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
-      /* Each time another engine is the first that is lost. */
+      /* A different engine is lost first each time. */
       for (uint32_t start = 0; start < 10; start++)
         {
           struct fleet fleet;
-          struct rst_layers wanted[CARDS_MAX];
-          build (&fleet, &rows[i].zone, 1);
-          stp_plan (&engine, STP_DIVIDE_ANEW, 1, fleet.cards, fleet.count,
+          struct rst_layers wanted[ENGINES_MAX];
+          build_fleet (&fleet, &rows[i].zone, 1);
+          stp_plan (&spec, STP_DIVIDE_ANEW, 1, fleet.engines, fleet.count,
                     wanted);
-          carry_out (&fleet, wanted);
+          apply_plan (&fleet, wanted);
           for (uint32_t n = 0; n < rows[i].losses; n++)
             {
               uint32_t lost = (start + 3 * n) % fleet.count;
-              fleet.cards[lost] = fleet.cards[--fleet.count];
-              stp_plan (&engine, STP_DIVIDE_ANEW, 1, fleet.cards, fleet.count,
+              fleet.engines[lost] = fleet.engines[--fleet.count];
+              stp_plan (&spec, STP_DIVIDE_ANEW, 1, fleet.engines, fleet.count,
                         wanted);
-              carry_out (&fleet, wanted);
+              apply_plan (&fleet, wanted);
             }
-          assert_true (least_holders (&fleet, wanted, 0) >= 1);
-          assert_true (least_cache (&fleet, 0) >= rows[i].room_tokens);
+          assert_true (fewest_holders (&fleet, wanted, 0) >= 1);
+          assert_true (smallest_cache (&fleet, 0) >= rows[i].cache_tokens);
         }
     }
 }
 
 #define TILES_MAX 5
 
-/* Ten layers among engines that hold some of them, and what each is to hold;
-   an empty range of the first one stands for no division at all. */
+/* Ten layers, divided among engines that hold some of them already, and the
+   expected layers of each engine.  An empty range of the first one stands for
+   no division. */
 static const struct
 {
   const char *name;
   struct til_engine engines[TILES_MAX];
   uint32_t count;
-  struct rst_layers want[TILES_MAX];
+  struct rst_layers expected[TILES_MAX];
 } tile_rows[] = {
-  { "nothing is missing",
+  { "all layers are held",
     { { { 0, 5 }, 6, true }, { { 5, 10 }, 6, true } },
     2,
     { { 0, 5 }, { 5, 10 } } },
-  { "a neighbour grows",
+  { "an adjacent engine takes the missing layer",
     { { { 0, 4 }, 6, true }, { { 5, 10 }, 5, true } },
     2,
     { { 0, 5 }, { 5, 10 } } },
-  { "the one between passes layers on",
+  { "an engine that can't move keeps its layers",
     { { { 0, 4 }, 5, true }, { { 4, 8 }, 5, false }, { { 9, 10 }, 2, true } },
     3,
     { { 0, 4 }, { 4, 8 }, { 8, 10 } } },
-  { "a chain slides towards the one with room",
+  { "layers shift along to the engine with memory left",
     { { { 0, 4 }, 4, true }, { { 5, 8 }, 3, true }, { { 8, 10 }, 3, true } },
     3,
     { { 0, 4 }, { 4, 7 }, { 7, 10 } } },
-  { "an engine that overlaps others stays",
+  { "engines that overlap keep their layers",
     { { { 0, 5 }, 6, true }, { { 3, 8 }, 6, true }, { { 7, 10 }, 6, true } },
     3,
     { { 0, 5 }, { 3, 8 }, { 7, 10 } } },
@@ -390,8 +404,9 @@
     { { 0, 0 } } },
 };
 
+/* The division that loads the fewest layers is found.  */
 static void
-test_divide (void **state)
+test_tiling (void **state)
 {
   (void)state;
   for (size_t i = 0; i < sizeof tile_rows / sizeof tile_rows[0]; i++)
@@ -399,61 +414,62 @@
       struct rst_layers wanted[TILES_MAX] = { { 0, 0 } };
       bool found
           = til_divide (tile_rows[i].engines, tile_rows[i].count, 10, wanted);
-      assert_int_equal (found, tile_rows[i].want[0].end > 0);
+      assert_int_equal (found, tile_rows[i].expected[0].end > 0);
       for (uint32_t tile = 0; found && tile < tile_rows[i].count; tile++)
         {
-          assert_int_equal (wanted[tile].first, tile_rows[i].want[tile].first);
-          assert_int_equal (wanted[tile].end, tile_rows[i].want[tile].end);
+          assert_int_equal (wanted[tile].first,
+                            tile_rows[i].expected[tile].first);
+          assert_int_equal (wanted[tile].end, tile_rows[i].expected[tile].end);
         }
     }
 }
 
-/* Engines with an order under way get no other.  */
+/* Engines with an order in progress get no further one.  */
 static void
 test_plan_unmovable (void **state)
 {
   (void)state;
-  static const struct zone_row zones[] = { { 5, 0, 0 } };
+  static const struct zone_counts zones[] = { { 5, 0, 0 } };
   struct fleet fleet;
-  struct rst_layers wanted[CARDS_MAX];
-  build (&fleet, zones, 1);
+  struct rst_layers wanted[ENGINES_MAX];
+  build_fleet (&fleet, zones, 1);
   for (uint32_t i = 0; i < fleet.count; i++)
     {
-      fleet.cards[i].movable = false;
+      fleet.engines[i].movable = false;
     }
-  stp_plan (&engine, STP_DIVIDE_ANEW, 1, fleet.cards, fleet.count, wanted);
+  stp_plan (&spec, STP_DIVIDE_ANEW, 1, fleet.engines, fleet.count, wanted);
   for (uint32_t i = 0; i < fleet.count; i++)
     {
       assert_int_equal (wanted[i].end, 0);
     }
 }
 
-#define PATH_CARDS_MAX 6
+#define PATH_ENGINES_MAX 6
 
-/* Engines by range, data centre, use and cost; and the path that is wanted, as
-   indexes of engines, or NULL for none. */
+/* Engines with their layers, data centre, usability and cost, and the expected
+   path as a list of ENGINE=FIRST-END, or NULL for none. */
 struct path_row
 {
   const char *name;
-  struct pth_card cards[PATH_CARDS_MAX];
+  struct pth_card engines[PATH_ENGINES_MAX];
   uint32_t count;
-  const char *want;
+  const char *expected;
 };
 
 static const struct path_row path_rows[] = {
-  { "one chain",
+  { "engines in sequence",
     { { { 0, 4 }, 0, true, 1 }, { { 4, 10 }, 0, true, 1 } },
     2,
     "0=0-4,1=4-10" },
-  { "a hole",
+  { "a layer without a holder",
     { { { 0, 4 }, 0, true, 1 }, { { 5, 10 }, 0, true, 1 } },
     2,
     NULL },
-  { "an engine that rests leaves a hole",
+  { "an engine that is not usable",
     { { { 0, 4 }, 0, true, 1 }, { { 4, 10 }, 0, false, 1 } },
     2,
     NULL },
-  { "the lost part is taken from another data centre",
+  { "a holder in another data centre replaces a lost one",
     { { { 0, 4 }, 0, true, 1 },
       { { 4, 10 }, 0, false, 1 },
       { { 0, 10 }, 1, true, 9 } },
@@ -470,12 +486,13 @@
     { { { 0, 10 }, 0, true, 3 }, { { 0, 10 }, 0, true, 1 } },
     2,
     "1=0-10" },
-  { "no engine comes twice",
+  { "no engine occurs twice",
     { { { 0, 10 }, 0, true, 3 }, { { 3, 6 }, 0, true, 1 } },
     2,
     "0=0-10" },
 };
 
+/* The cheapest path is found.  */
 static void
 test_paths (void **state)
 {
@@ -490,15 +507,15 @@
       const struct path_row *row = &path_rows[i];
       struct pth_path path;
       GString *text = g_string_new (NULL);
-      bool found = pth_find (&costs, row->cards, row->count, &path);
+      bool found = pth_find (&costs, row->engines, row->count, &path);
       for (uint32_t part = 0; found && part < path.count; part++)
         {
           g_string_append_printf (
               text, "%s%u=%u-%u", part == 0 ? "" : ",", path.parts[part].card,
               path.parts[part].layers.first, path.parts[part].layers.end);
         }
-      if (found != (row->want != NULL)
-          || (found && strcmp (text->str, row->want) != 0))
+      if (found != (row->expected != NULL)
+          || (found && strcmp (text->str, row->expected) != 0))
         {
           fail_msg ("%s: found %d, %s", row->name, found, text->str);
         }
@@ -506,8 +523,8 @@
     }
 }
 
-/* Every path over random engines runs every layer once, in order, on engines
-   that hold it, each engine once.  */
+/* Each path over random engines runs every layer once, in order, on usable
+   engines that hold it, and uses no engine twice.  */
 static void
 test_paths_random (void **state)
 {
@@ -516,14 +533,14 @@
   const struct pth_costs costs
       = { .layers = LAYERS, .hop_ms = 0.3, .zone_hop_ms = 12 };
   uint32_t found = 0;
-  for (uint32_t turn = 0; turn < 400; turn++)
+  for (uint32_t trial = 0; trial < 400; trial++)
     {
-      struct pth_card cards[40];
+      struct pth_card engines[40];
       for (uint32_t i = 0; i < 40; i++)
         {
           uint32_t first = (uint32_t)g_rand_int_range (random, 0, LAYERS);
           uint32_t span = (uint32_t)g_rand_int_range (random, 1, 21);
-          cards[i] = (struct pth_card){
+          engines[i] = (struct pth_card){
             .held = { first, MIN (first + span, LAYERS) },
             .zone = (uint32_t)g_rand_int_range (random, 0, 3),
             .usable = g_rand_int_range (random, 0, 10) > 0,
@@ -531,7 +548,7 @@
           };
         }
       struct pth_path path;
-      if (!pth_find (&costs, cards, 40, &path))
+      if (!pth_find (&costs, engines, 40, &path))
         {
           continue;
         }
@@ -543,10 +560,10 @@
           const struct pth_part *at = &path.parts[part];
           assert_false (used[at->card]);
           used[at->card] = true;
-          assert_true (cards[at->card].usable);
+          assert_true (engines[at->card].usable);
           assert_int_equal (at->layers.first, next);
-          assert_true (at->layers.first >= cards[at->card].held.first);
-          assert_true (at->layers.end <= cards[at->card].held.end);
+          assert_true (at->layers.first >= engines[at->card].held.first);
+          assert_true (at->layers.end <= engines[at->card].held.end);
           assert_true (at->layers.end > at->layers.first);
           next = at->layers.end;
         }
@@ -561,13 +578,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_plan_cold),
-    cmocka_unit_test (test_plan_stands),
-    cmocka_unit_test (test_plan_loss),
-    cmocka_unit_test (test_plan_newcomer),
-    cmocka_unit_test (test_plan_keeps_room),
+    cmocka_unit_test (test_plan_cold_start),
+    cmocka_unit_test (test_plan_is_stable),
+    cmocka_unit_test (test_plan_engine_loss),
+    cmocka_unit_test (test_plan_new_engine),
+    cmocka_unit_test (test_plan_keeps_cache),
     cmocka_unit_test (test_plan_small_gap),
-    cmocka_unit_test (test_divide),
+    cmocka_unit_test (test_tiling),
     cmocka_unit_test (test_plan_unmovable),
     cmocka_unit_test (test_paths),
     cmocka_unit_test (test_paths_random),
