--- a/src/core/assign.c
+++ b/src/core/assign.c
@@ -1,3 +1,4 @@
+/* Assignments, their evaluation by maximum flow, and queries on them. */
 #include "core/assign.h"
 
 #include "core/flow.h"
--- a/src/core/assign_anneal.c
+++ b/src/core/assign_anneal.c
@@ -1,10 +1,9 @@
+/* Simulated annealing over the holders of the segments in the bottleneck. */
 #include "core/assign.h"
 
 #include <glib.h>
 #include <math.h>
 
-/* Simulated annealing over the holders of the segments in the bottleneck. */
-
 /* Seed of the random moves: fixed, so that the same input gives the same
    result. */
 #define SEED 20
--- a/src/core/assign_fill.c
+++ b/src/core/assign_fill.c
@@ -1,11 +1,10 @@
+/* Greedy construction: fills engines by the unmet demand of segments, and adds
+   holders until each segment has enough replicas. */
 #include "core/assign.h"
 #include "core/rank.h"
 
 #include <glib.h>
 
-/* Greedy construction: fills engines by the unmet demand of segments, and adds
-   holders until each segment has enough replicas. */
-
 /* An engine whose spare rate is below this fraction of its rate gets no
    further segment: the load would not be worth it. */
 #define SPARE_FRACTION_MIN 0.02
@@ -30,10 +29,10 @@
   GArray *order = rk_create ();
   for (uint32_t i = 0; i < problem->engine_count; i++)
     {
-      uint32_t largest_held
+      uint32_t largest_count
           = problem->engines[i].memory_mib / MAX (largest_mib, 1);
       rk_add (order, i,
-              MIN (largest_held, 2) - problem->engines[i].rate / fastest);
+              MIN (largest_count, 2) - problem->engines[i].rate / fastest);
     }
   rk_sort (order);
   return order;
--- a/src/core/assign_search.c
+++ b/src/core/assign_search.c
@@ -1,11 +1,10 @@
+/* Local search: raises the token rate by changing the holders of the segments
+   in the bottleneck. */
 #include "core/assign.h"
 #include "core/rank.h"
 
 #include <glib.h>
 
-/* Local search: raises the token rate by changing the holders of the segments
-   in the bottleneck. */
-
 /* The search stops at this fraction of the compute-only bound. */
 #define TARGET_FRACTION 0.995
 /* An engine whose unused rate is below this fraction of its rate counts as
--- a/src/core/roster.c
+++ b/src/core/roster.c
@@ -110,9 +110,9 @@
 }
 
 /* Replaces what is known of an endpoint by ENDPOINT, which comes from the
-   record at OFFSET.  Takes ownership of ENDPOINT and ignores it if a newer
-   record about the endpoint was taken before.  Returns true when routing may
-   change.  */
+   record at OFFSET.  Takes ownership of ENDPOINT, and ignores the record if a
+   newer one about the endpoint was taken before.  Returns true when routing
+   may change.  */
 bool
 rst_take (struct rst *roster, struct rst_endpoint *endpoint, uint64_t offset)
 {
--- a/src/core/stage_plan.h
+++ b/src/core/stage_plan.h
@@ -24,7 +24,7 @@
 /* Which engines may be moved to layers that no engine holds. */
 enum stp_effort
 {
-  STP_SPARES,     /* only those whose layers other engines hold as well */
+  STP_SPARES,     /* only those whose layers, if any, have other holders */
   STP_DIVIDE_ANEW /* all, by a new division of the layers */
 };
 
--- a/test/stages_test.c
+++ b/test/stages_test.c
@@ -53,8 +53,7 @@
   uint32_t zones;
 };
 
-/* Adds COUNT movable engines of KIND in ZONE to FLEET.  They hold no layers.
- */
+/* Adds COUNT movable engines of KIND in ZONE to FLEET, without layers.  */
 static void
 add_engines (struct fleet *fleet, uint32_t zone, const struct kind *kind,
              uint32_t count)
