--- a/src/core/account_limit.c
+++ b/src/core/account_limit.c
@@ -5,51 +5,60 @@
 #include <glib.h>
 #include <math.h>
 
-/* Part of a limit that is divided evenly among the daemons, whatever they are
-   asked for. */
-#define EVEN_PART 0.2
-/* Seconds of its rate that an account may use at once. */
+/* Fraction of a limit that is divided evenly among the daemons, regardless of
+   demand. */
+#define EVEN_FRACTION 0.2
+/* Burst that an account may use at once, in seconds of its rate. */
 #define BURST_S 2.0
+/* Time constant of the exponential decay of the measured demand. */
 #define DEMAND_LIFETIME_US (5 * CLK_S_US)
-/* Tokens expected of a stream before any has ended. */
-#define TOKENS_EXPECTED 64.0
-/* Streams over which the share of the allowed tokens that is generated is
-   averaged. */
-#define STREAMS_AVERAGED 32
-/* A request refused for its length alone takes this off the expectation, so
-   that what has become too long an estimate does not refuse for ever. */
-#define EXPECT_LESS 0.98
-/* How long a caller waits that has too many streams open. */
-#define STREAM_WAIT_US CLK_S_US
+/* Expected length of a stream, in tokens, until the first stream has ended. */
+#define DEFAULT_EXPECTED_TOKENS 64.0
+/* Number of streams that the moving average of generated per allowed tokens
+   covers. */
+#define RATIO_SAMPLES_MAX 32
+/* Factor applied to the length estimate when a request is refused because of
+   its estimated length alone.  Without the decay, an estimate that has become
+   too long would refuse requests forever. */
+#define ESTIMATE_DECAY 0.98
+/* Wait reported to a caller whose account has too many open streams. */
+#define STREAM_LIMIT_WAIT_US CLK_S_US
 
-/* Every stream under way may be retried at once, as when a data centre is
-   lost, and again when another fault follows before that is over; beyond
-   these, one retry for each so many requests. */
+/* Retry budget.  It covers a retry of every open stream at once, as needed
+   after the loss of a data centre, and another one when a second fault follows
+   before the first is handled.  Beyond that, the budget grows with the
+   requests. */
 #define RETRIES_PER_STREAM 3.0
-#define RETRY_DEPTH 16.0
+/* Depth of the retry bucket without open streams, in retries. */
+#define RETRY_BURST 16.0
 #define RETRIES_PER_S 1.0
+/* Growth of the retry bucket per request that arrives. */
 #define RETRIES_PER_REQUEST 0.2
-#define HEDGE_DEPTH 4.0
+/* Depth of the hedge bucket, in hedged requests. */
+#define HEDGE_BURST 4.0
+/* Growth of the hedge bucket per request that arrives. */
 #define HEDGES_PER_REQUEST 0.05
 
-/* Returns the depth of a bucket: a burst, and one request at least.  */
+/* Returns the depth of a bucket that refills at RATE per second: BURST_S
+   seconds of the rate, but at least 1; 0 for a rate of 0.  */
 static double
-depth_of (double rate)
+bucket_depth (double rate)
 {
   return rate > 0.0 ? MAX (rate * BURST_S, 1.0) : 0.0;
 }
 
-/* Sets the rates of the buckets by the account's share.  */
+/* Sets the bucket rates to this daemon's share of the limits.  */
 static void
 set_rates (struct acc_account *account, int64_t now_us)
 {
   double requests = account->limits.requests_per_s * account->share;
   double tokens = account->limits.tokens_per_s * account->share;
-  bkt_set_rate (&account->requests, requests, depth_of (requests), now_us);
-  bkt_set_rate (&account->tokens, tokens, depth_of (tokens), now_us);
+  bkt_set_rate (&account->requests, requests, bucket_depth (requests), now_us);
+  bkt_set_rate (&account->tokens, tokens, bucket_depth (tokens), now_us);
 }
 
-/* Creates the state of an account with full buckets.  */
+/* Creates an account with full buckets and an even share of LIMITS.  FLOW is
+   its index in the fair queue.  The caller frees it with g_free.  */
 struct acc_account *
 acc_create (const struct cfg_account *limits, uint32_t flow, uint32_t daemons,
             int64_t now_us)
@@ -60,23 +69,23 @@
   account->daemons = daemons;
   account->share = 1.0 / daemons;
   account->demand_at_us = now_us;
-  bkt_start (&account->requests, 0.0, 0.0, now_us);
-  bkt_start (&account->tokens, 0.0, 0.0, now_us);
+  bkt_init (&account->requests, 0.0, 0.0, now_us);
+  bkt_init (&account->tokens, 0.0, 0.0, now_us);
   set_rates (account, now_us);
   account->requests.level = account->requests.depth;
   account->tokens.level = account->tokens.depth;
-  bkt_start (&account->retries, RETRIES_PER_S, RETRY_DEPTH, now_us);
-  bkt_start (&account->hedges, 0.0, HEDGE_DEPTH, now_us);
+  bkt_init (&account->retries, RETRIES_PER_S, RETRY_BURST, now_us);
+  bkt_init (&account->hedges, 0.0, HEDGE_BURST, now_us);
   return account;
 }
 
-/* Changes the limits.  When the number of daemons has changed the share is
-   even until demand is told again.  */
+/* Changes the limits.  When the number of daemons has changed, the share is
+   even until the next acc_apply_fleet_demand.  */
 void
 acc_configure (struct acc_account *account, const struct cfg_account *limits,
                uint32_t daemons, int64_t now_us)
 {
-  /* The name is the key that the account is known by, and stays. */
+  /* The name, the key of the account's hash table entry, is unchanged. */
   account->limits = *limits;
   if (account->daemons != daemons)
     {
@@ -87,68 +96,72 @@
   set_rates (account, now_us);
 }
 
+/* Decays the demand rates to NOW_US.  */
 static void
 decay_demand (struct acc_account *account, int64_t now_us)
 {
-  int64_t passed_us = now_us - account->demand_at_us;
-  if (passed_us > 0)
+  int64_t elapsed_us = now_us - account->demand_at_us;
+  if (elapsed_us > 0)
     {
-      double kept = exp (-(double)passed_us / DEMAND_LIFETIME_US);
-      account->demand.requests_per_s *= kept;
-      account->demand.tokens_per_s *= kept;
+      double factor = exp (-(double)elapsed_us / DEMAND_LIFETIME_US);
+      account->demand.requests_per_s *= factor;
+      account->demand.tokens_per_s *= factor;
       account->demand_at_us = now_us;
     }
 }
 
-/* Counts an arrival, refused or not, as demand, and lets the budgets of
-   retries and hedges grow by it.  */
+/* Adds a request of TOKENS, whether refused or not, to the demand, and grows
+   the retry and hedge budgets.  */
 void
-acc_arrived (struct acc_account *account, uint32_t tokens, int64_t now_us)
+acc_count_arrival (struct acc_account *account, uint32_t tokens,
+                   int64_t now_us)
 {
   double lifetime_s = (double)DEMAND_LIFETIME_US / CLK_S_US;
   decay_demand (account, now_us);
   account->demand.requests_per_s += 1.0 / lifetime_s;
   account->demand.tokens_per_s += tokens / lifetime_s;
-  bkt_put (&account->retries, RETRIES_PER_REQUEST);
-  bkt_put (&account->hedges, HEDGES_PER_REQUEST);
+  bkt_add (&account->retries, RETRIES_PER_REQUEST);
+  bkt_add (&account->hedges, HEDGES_PER_REQUEST);
 }
 
-/* Returns whether one more stream stays within the limit.  A share that is not
-   a whole number is rounded up as long as the fleet's total allows it.  */
+/* Returns whether one more stream stays within the limit.  A fractional share
+   is rounded up as long as the fleet's total stays within the limit.  */
 static bool
-may_open (const struct acc_account *account)
+may_open_stream (const struct acc_account *account)
 {
   double share = account->limits.streams * account->share;
   if (account->streams + 1 <= share)
     {
       return true;
     }
-  int64_t elsewhere = (int64_t)account->fleet_streams - account->told_streams;
+  int64_t elsewhere
+      = (int64_t)account->fleet_streams - account->local_streams_at_report;
   return account->streams < share
          && MAX (elsewhere, 0) + account->streams < account->limits.streams;
 }
 
-/* Returns how long the account has to wait until it may send a request of
-   TOKENS; 0: it may now.  A limit of 0 allows nothing.  */
+/* Returns the microseconds until the account may send a request of TOKENS, or
+   0 if it may send one now.  A limit of 0 allows no request.  */
 int64_t
 acc_wait_us (struct acc_account *account, uint32_t tokens, int64_t now_us)
 {
   int64_t wait_us = bkt_wait_us (&account->requests, 1.0, now_us);
   if (tokens > 0)
     {
-      /* The bucket may be overdrawn by one request, never entered empty. */
+      /* A request larger than the depth needs a full bucket and overdraws
+         it. */
       double level = MIN ((double)tokens, account->tokens.depth);
       int64_t tokens_us = bkt_wait_us (&account->tokens, level, now_us);
       wait_us = MAX (wait_us, tokens_us);
-      if (!may_open (account))
+      if (!may_open_stream (account))
         {
-          wait_us = MAX (wait_us, STREAM_WAIT_US);
+          wait_us = MAX (wait_us, STREAM_LIMIT_WAIT_US);
         }
     }
   return wait_us;
 }
 
-/* Charges a request that is let in.  */
+/* Charges an admitted request of TOKENS to the buckets.  */
 void
 acc_charge (struct acc_account *account, uint32_t tokens)
 {
@@ -156,21 +169,24 @@
   bkt_take (&account->tokens, tokens);
 }
 
-/* Counts an open stream; calls of plain services are none.  */
+/* Counts an open stream.  Calls of plain services, with TOKENS of 0, are not
+   counted.  */
 void
-acc_open (struct acc_account *account, uint32_t tokens)
+acc_open_stream (struct acc_account *account, uint32_t tokens)
 {
   account->streams += tokens > 0 ? 1 : 0;
 }
 
-/* Undoes acc_open, and puts back what was CHARGED beyond TOKENS.  */
+/* Reverses acc_open_stream, and refunds the CHARGED tokens that exceed the
+   generated TOKENS.  */
 void
-acc_close (struct acc_account *account, uint32_t charged, uint32_t tokens)
+acc_close_stream (struct acc_account *account, uint32_t charged,
+                  uint32_t tokens)
 {
   account->streams -= charged > 0 ? 1 : 0;
   if (tokens < charged)
     {
-      bkt_put (&account->tokens, charged - tokens);
+      bkt_add (&account->tokens, charged - tokens);
     }
 }
 
@@ -181,39 +197,45 @@
   return MAX (account->limits.weight, 1);
 }
 
-/* Returns how many tokens a stream is expected to generate that may generate
-   ALLOWED.  */
+/* Returns the expected length, in tokens, of a stream that may generate
+   ALLOWED tokens.  */
 double
 acc_expected_tokens (const struct acc_account *account, uint32_t allowed)
 {
-  double tokens = account->averaged > 0 ? allowed * account->used_share
-                                        : MIN (allowed, TOKENS_EXPECTED);
+  double tokens = account->ratio_samples > 0
+                      ? allowed * account->generated_ratio
+                      : MIN (allowed, DEFAULT_EXPECTED_TOKENS);
   return MAX (tokens, 1.0);
 }
 
-/* Takes in what a finished stream has generated that was ALLOWED so much.  */
+/* Updates the length estimate with a finished stream that generated TOKENS of
+   the ALLOWED tokens.  */
 void
-acc_generated (struct acc_account *account, uint32_t allowed, uint32_t tokens)
+acc_observe_length (struct acc_account *account, uint32_t allowed,
+                    uint32_t tokens)
 {
   double share = MIN ((double)tokens / MAX (allowed, 1), 1.0);
-  account->averaged = MIN (account->averaged + 1, STREAMS_AVERAGED);
-  account->used_share += (share - account->used_share) / account->averaged;
+  account->ratio_samples = MIN (account->ratio_samples + 1, RATIO_SAMPLES_MAX);
+  account->generated_ratio
+      += (share - account->generated_ratio) / account->ratio_samples;
 }
 
-/* Lowers the expectation after a refusal that rests on it alone.  */
+/* Lowers the length estimate after a refusal that was based on the estimate
+   alone.  */
 void
-acc_expect_less (struct acc_account *account)
+acc_lower_estimate (struct acc_account *account)
 {
-  account->used_share *= EXPECT_LESS;
+  account->generated_ratio *= ESTIMATE_DECAY;
 }
 
-/* Takes one retry from the budget; false when it is used up.  */
+/* Takes one retry from the budget.  Returns false when the budget is
+   exhausted.  */
 bool
 acc_take_retry (struct acc_account *account, int64_t now_us)
 {
-  /* The budget grows with the streams that one loss may concern. */
-  bkt_deepen (&account->retries,
-              RETRY_DEPTH + RETRIES_PER_STREAM * account->streams, now_us);
+  /* A single fault may affect every open stream. */
+  bkt_grow_depth (&account->retries,
+                  RETRY_BURST + RETRIES_PER_STREAM * account->streams, now_us);
   if (bkt_level (&account->retries, now_us) < 1.0)
     {
       return false;
@@ -222,12 +244,14 @@
   return true;
 }
 
-/* Takes one hedge from both budgets; false when either is used up.  */
+/* Takes one hedged request from the hedge and the retry budget.  Returns false
+   when the hedge budget is exhausted or the retry budget is below half of
+   RETRY_BURST.  */
 bool
 acc_take_hedge (struct acc_account *account, int64_t now_us)
 {
   if (bkt_level (&account->hedges, now_us) < 1.0
-      || bkt_level (&account->retries, now_us) < RETRY_DEPTH / 2)
+      || bkt_level (&account->retries, now_us) < RETRY_BURST / 2)
     {
       return false;
     }
@@ -236,29 +260,31 @@
   return true;
 }
 
-/* Sets DEMAND to what the account asks of this daemon.  */
+/* Sets DEMAND to the account's demand on this daemon.  */
 void
-acc_own_demand (struct acc_account *account, int64_t now_us,
-                struct adm_demand *demand)
+acc_local_demand (struct acc_account *account, int64_t now_us,
+                  struct adm_demand *demand)
 {
   decay_demand (account, now_us);
   *demand = account->demand;
   demand->streams = account->streams;
 }
 
-/* Divides the limits by demand: FLEET is that of all daemons together.  The
-   shares of all daemons add up to 1 as far as they know the same figures.  */
+/* Sets this daemon's share of the limits in proportion to its part of FLEET,
+   the demand on all daemons.  The shares of all daemons add up to 1 when all
+   use the same demand figures.  */
 void
-acc_take_demand (struct acc_account *account, const struct adm_demand *fleet,
-                 int64_t now_us)
+acc_apply_fleet_demand (struct acc_account *account,
+                        const struct adm_demand *fleet, int64_t now_us)
 {
   decay_demand (account, now_us);
   double even = 1.0 / account->daemons;
-  double own = account->demand.requests_per_s;
-  double all = MAX (fleet->requests_per_s, own);
-  account->share
-      = all > 0.0 ? EVEN_PART * even + (1.0 - EVEN_PART) * own / all : even;
+  double local = account->demand.requests_per_s;
+  double total = MAX (fleet->requests_per_s, local);
+  account->share = total > 0.0 ? EVEN_FRACTION * even
+                                     + (1.0 - EVEN_FRACTION) * local / total
+                               : even;
   account->fleet_streams = fleet->streams;
-  account->told_streams = account->streams;
+  account->local_streams_at_report = account->streams;
   set_rates (account, now_us);
 }
--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -7,35 +7,41 @@
 
 #include <glib.h>
 
-#define BETWEEN_TOKENS_TARGET_US (39 * CLK_MS_US)
+/* Target for the time between tokens when no account sets an objective. */
+#define DEFAULT_BETWEEN_TOKENS_TARGET_US (39 * CLK_MS_US)
+/* Longest wait before a retry that a caller is told. */
 #define RETRY_AFTER_MAX_S 60
-/* The recovery profile keeps this part of the capacity free, so that what is
-   left after a fault carries the streams under way. */
+/* Fraction of the capacity that the recovery profile keeps free, so that the
+   capacity left after a fault can carry the running streams. */
 #define RECOVERY_HEADROOM 0.15
 
-/* Retries of one endpoint's failures: at once, and each second. */
+/* Retry budget for the failures of one endpoint: burst and refill rate, in
+   retries. */
 #define ENDPOINT_RETRY_DEPTH 64.0
 #define ENDPOINT_RETRIES_PER_S 2.0
 
-/* Streams of accounts within their share go first in engines, as long as they
-   take at most this part of the capacity; the rest is never starved. */
-#define EXPRESS_PART 0.5
+/* Largest fraction of the capacity for prioritized streams, those of accounts
+   within their share.  The rest keeps other streams from starving. */
+#define PRIORITIZED_FRACTION 0.5
 
+/* State of a known request. */
 enum stage
 {
   STAGE_QUEUED,
   STAGE_STREAMING,
-  STAGE_SERVICE /* a call of a plain service */
+  STAGE_SERVICE /* running call of a plain service */
 };
 
+/* A request that is queued or running. */
 struct record
 {
   struct adm_request request;
   struct acc_account *account;
   enum stage stage;
-  bool express;
+  bool prioritized; /* counted in adm.prioritized */
 };
 
+/* Refusal of a queued request, to be returned by adm_next. */
 struct refusal
 {
   uint64_t id;
@@ -44,21 +50,22 @@
 
 struct adm
 {
-  GHashTable *by_name;   /* struct acc_account, owned */
-  GPtrArray *accounts;   /* by index in the configuration */
-  GHashTable *records;   /* by id */
-  GQueue refusals;       /* of queued requests, not yet told */
-  GHashTable *endpoints; /* by index: struct bkt_bucket */
+  GHashTable *by_name; /* account name to struct acc_account, owned */
+  GPtrArray *accounts; /* struct acc_account by index in the configuration */
+  GHashTable *records; /* request id to struct record, owned */
+  GQueue refusals;     /* struct refusal, not yet returned by adm_next */
+  GHashTable *endpoint_retries; /* endpoint index to struct bkt_bucket */
   struct fq_queue *queue;
   struct con_limit limit;
-  uint32_t queue_length;
-  uint32_t streams; /* under way */
-  uint32_t express; /* of these */
-  uint32_t next_flow;
-  uint32_t active_weight; /* of the accounts with streams under way */
+  uint32_t queue_length;  /* limit on queued requests */
+  uint32_t streams;       /* running */
+  uint32_t prioritized;   /* of `streams', those with engine priority */
+  uint32_t next_flow;     /* next unused flow index */
+  uint32_t active_weight; /* sum over the accounts with running streams */
 };
 
-/* Creates the machine; nothing is admitted before adm_configure.  */
+/* Creates the admission state.  No request is admitted before
+   adm_configure.  */
 struct adm *
 adm_create (void)
 {
@@ -67,9 +74,9 @@
   adm->accounts = g_ptr_array_new ();
   adm->records
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  adm->endpoints = g_hash_table_new_full (NULL, NULL, NULL, g_free);
+  adm->endpoint_retries = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   adm->queue = fq_create ();
-  con_start (&adm->limit, 0.0, BETWEEN_TOKENS_TARGET_US);
+  con_start (&adm->limit, 0.0, DEFAULT_BETWEEN_TOKENS_TARGET_US);
   return adm;
 }
 
@@ -83,15 +90,15 @@
     }
   g_queue_clear_full (&adm->refusals, g_free);
   fq_destroy (adm->queue);
-  g_hash_table_destroy (adm->endpoints);
+  g_hash_table_destroy (adm->endpoint_retries);
   g_hash_table_destroy (adm->records);
   g_ptr_array_free (adm->accounts, TRUE);
   g_hash_table_destroy (adm->by_name);
   g_free (adm);
 }
 
-/* Returns the least objective between tokens of the accounts, or the default
-   where none has one.  */
+/* Returns the strictest objective of all accounts for the time between tokens,
+   or the default if no account has one.  */
 static int64_t
 between_tokens_target_us (const struct cfg_config *config)
 {
@@ -104,12 +111,13 @@
           target_us = objective_us;
         }
     }
-  return target_us > 0 ? target_us : BETWEEN_TOKENS_TARGET_US;
+  return target_us > 0 ? target_us : DEFAULT_BETWEEN_TOKENS_TARGET_US;
 }
 
-/* Weights may have changed while streams are under way.  */
+/* Recomputes `active_weight', since a new configuration may change the weights
+   of accounts with running streams.  */
 static void
-count_active_weight (struct adm *adm)
+update_active_weight (struct adm *adm)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -118,13 +126,14 @@
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
       const struct acc_account *account = value;
-      adm->active_weight += account->under_way > 0 ? acc_weight (account) : 0;
+      adm->active_weight
+          += account->running_streams > 0 ? acc_weight (account) : 0;
     }
 }
 
-/* Puts CONFIG in force for DAEMONS ready daemons over a fleet of
-   CAPACITY_TOKENS_PER_S (0: unknown).  Accounts are kept by name, so that what
-   they have used up stays used.  */
+/* Applies CONFIG, for DAEMONS ready daemons and a fleet capacity of
+   CAPACITY_TOKENS_PER_S (0: unknown).  Accounts are matched by name, so that a
+   new configuration doesn't refill their buckets.  */
 void
 adm_configure (struct adm *adm, const struct cfg_config *config,
                uint32_t daemons, double capacity_tokens_per_s, int64_t now_us)
@@ -148,7 +157,7 @@
       fq_set_weight (adm->queue, account->flow, limits->weight);
       g_ptr_array_add (adm->accounts, account);
     }
-  count_active_weight (adm);
+  update_active_weight (adm);
   adm->queue_length = MAX (config->rules.queue_length, 1);
   double share = capacity_tokens_per_s / daemons;
   if (config->rules.profile == CFG_PROFILE_RECOVERY)
@@ -158,6 +167,7 @@
   con_set_capacity (&adm->limit, share, between_tokens_target_us (config));
 }
 
+/* Returns the account at INDEX of the configuration, or NULL.  */
 static struct acc_account *
 account_at (const struct adm *adm, uint32_t index)
 {
@@ -165,6 +175,7 @@
                                     : NULL;
 }
 
+/* Returns WAIT_US in seconds, rounded up and limited to RETRY_AFTER_MAX_S.  */
 static uint32_t
 retry_after_s (int64_t wait_us)
 {
@@ -172,8 +183,9 @@
   return (uint32_t)CLAMP (wait_s, 1, RETRY_AFTER_MAX_S);
 }
 
+/* Sets VERDICT to a refusal for which a retry makes sense after WAIT_US.  */
 static enum adm_decision
-refuse (struct adm_verdict *verdict, enum err_kind error, int64_t wait_us)
+set_refusal (struct adm_verdict *verdict, enum err_kind error, int64_t wait_us)
 {
   *verdict = (struct adm_verdict){
     .error = error,
@@ -182,8 +194,8 @@
   return ADM_REFUSED;
 }
 
-/* Returns the time that TOKENS take at the rate at which this daemon's streams
-   are served.  */
+/* Returns the time in which this daemon's streams generate TOKENS, or 0 if the
+   rate isn't known.  */
 static int64_t
 drain_time_us (const struct adm *adm, double tokens)
 {
@@ -191,7 +203,7 @@
   return rate > 0.0 ? (int64_t)(tokens / rate * CLK_S_US) : 0;
 }
 
-/* Returns how long the stream of REQUEST takes from its start.  */
+/* Returns the expected duration of REQUEST's stream once it runs.  */
 static int64_t
 service_time_us (const struct adm *adm, const struct acc_account *account,
                  const struct adm_request *request)
@@ -201,54 +213,59 @@
 }
 
 static bool
-has_room (const struct adm *adm)
+has_free_slot (const struct adm *adm)
 {
   return adm->streams < con_streams (&adm->limit);
 }
 
+/* Stores REQUEST and counts it as an open stream of ACCOUNT.  */
 static struct record *
-remember (struct adm *adm, const struct adm_request *request,
-          struct acc_account *account, enum stage stage)
+add_record (struct adm *adm, const struct adm_request *request,
+            struct acc_account *account, enum stage stage)
 {
   struct record *record = g_new0 (struct record, 1);
   record->request = *request;
   record->account = account;
   record->stage = stage;
   g_hash_table_insert (adm->records, &record->request.id, record);
-  acc_open (account, request->tokens);
+  acc_open_stream (account, request->tokens);
   return record;
 }
 
-/* Returns whether one more stream of ACCOUNT may go before those of accounts
-   with more than their share.  */
+/* Returns whether one more stream of ACCOUNT may take precedence over the
+   streams of accounts that exceed their share: ACCOUNT must stay within its
+   share by weight, and all prioritized streams within
+   PRIORITIZED_FRACTION.  */
 static bool
-may_go_first (const struct adm *adm, const struct acc_account *account)
+may_be_prioritized (const struct adm *adm, const struct acc_account *account)
 {
   uint32_t weight = acc_weight (account);
-  uint32_t others = adm->active_weight - (account->under_way > 0 ? weight : 0);
+  uint32_t others
+      = adm->active_weight - (account->running_streams > 0 ? weight : 0);
   double share
       = (double)con_streams (&adm->limit) * weight / (others + weight);
-  double most = EXPRESS_PART * con_unloaded_streams (&adm->limit);
-  return account->under_way + 1 <= MAX (share, 1.0)
-         && adm->express + 1 <= most;
+  double prioritized_max
+      = PRIORITIZED_FRACTION * con_unloaded_streams (&adm->limit);
+  return account->running_streams + 1 <= MAX (share, 1.0)
+         && adm->prioritized + 1 <= prioritized_max;
 }
 
-/* Starts the stream of RECORD.  */
+/* Starts the stream of RECORD and sets its engine priority in VERDICT.  */
 static enum adm_decision
 start_stream (struct adm *adm, struct record *record,
               struct adm_verdict *verdict)
 {
   struct acc_account *account = record->account;
   record->stage = STAGE_STREAMING;
-  record->express = may_go_first (adm, account);
+  record->prioritized = may_be_prioritized (adm, account);
   adm->streams++;
-  adm->express += record->express ? 1 : 0;
-  if (account->under_way++ == 0)
+  adm->prioritized += record->prioritized ? 1 : 0;
+  if (account->running_streams++ == 0)
     {
       adm->active_weight += acc_weight (account);
     }
   verdict->step_priority = MIN (record->request.priority, FQ_PRIORITIES - 1);
-  verdict->step_priority += record->express ? 0 : FQ_PRIORITIES;
+  verdict->step_priority += record->prioritized ? 0 : FQ_PRIORITIES;
   return ADM_ADMITTED;
 }
 
@@ -257,18 +274,18 @@
 {
   struct acc_account *account = record->account;
   adm->streams--;
-  adm->express -= record->express ? 1 : 0;
-  if (--account->under_way == 0)
+  adm->prioritized -= record->prioritized ? 1 : 0;
+  if (--account->running_streams == 0)
     {
       adm->active_weight -= acc_weight (account);
     }
 }
 
-/* Undoes `remember'.  Of the tokens that were charged only TOKENS stay.  */
+/* Reverses add_record.  Charged tokens in excess of TOKENS are refunded.  */
 static void
-forget (struct adm *adm, struct record *record, uint32_t tokens)
+remove_record (struct adm *adm, struct record *record, uint32_t tokens)
 {
-  acc_close (record->account, record->request.tokens, tokens);
+  acc_close_stream (record->account, record->request.tokens, tokens);
   if (record->stage == STAGE_STREAMING)
     {
       end_stream (adm, record);
@@ -276,26 +293,26 @@
   g_hash_table_remove (adm->records, &record->request.id);
 }
 
-/* Forgets a queued request that can no longer be served, and keeps its refusal
-   for adm_next.  */
+/* Removes the record of request ID, which has left the queue, and stores its
+   refusal for adm_next.  */
 static void
 refuse_queued (struct adm *adm, uint64_t id, enum err_kind error,
                int64_t wait_us)
 {
   struct refusal *refusal = g_new0 (struct refusal, 1);
   refusal->id = id;
-  (void)refuse (&refusal->verdict, error, wait_us);
+  (void)set_refusal (&refusal->verdict, error, wait_us);
   g_queue_push_tail (&adm->refusals, refusal);
   struct record *record = g_hash_table_lookup (adm->records, &id);
   if (record != NULL)
     {
-      forget (adm, record, 0);
+      remove_record (adm, record, 0);
     }
 }
 
-/* Queues REQUEST.  When the queue is full, the account with the longest
-   backlog for its weight loses its newest request; when that is the arriving
-   one, it is refused.  */
+/* Queues REQUEST.  If the queue is full, the newest request of the account
+   with the longest backlog relative to its weight is evicted.  If that is the
+   request's own account, REQUEST is refused instead.  */
 static enum adm_decision
 enqueue (struct adm *adm, const struct adm_request *request,
          struct acc_account *account, struct adm_verdict *verdict)
@@ -303,13 +320,13 @@
   int64_t drain_us = drain_time_us (adm, fq_cost (adm->queue));
   if (fq_length (adm->queue) >= adm->queue_length)
     {
-      struct fq_item longest;
+      struct fq_item evicted;
       if (fq_is_longest (adm->queue, account->flow)
-          || !fq_pop_longest (adm->queue, &longest))
+          || !fq_pop_longest (adm->queue, &evicted))
         {
-          return refuse (verdict, ERR_OVERLOADED, drain_us);
+          return set_refusal (verdict, ERR_OVERLOADED, drain_us);
         }
-      refuse_queued (adm, longest.id, ERR_OVERLOADED, drain_us);
+      refuse_queued (adm, evicted.id, ERR_OVERLOADED, drain_us);
     }
   const struct fq_item item = {
     .id = request->id,
@@ -319,16 +336,17 @@
     .latest_start_us
     = request->deadline_us - service_time_us (adm, account, request),
   };
-  (void)remember (adm, request, account, STAGE_QUEUED);
+  (void)add_record (adm, request, account, STAGE_QUEUED);
   fq_push (adm->queue, &item);
   return ADM_QUEUED;
 }
 
-/* Admits, queues or refuses REQUEST at once.  A refusal has ERR_UNAUTHORIZED
-   (no such account), ERR_RATE_LIMITED, ERR_DEADLINE_UNMEETABLE or
-   ERR_OVERLOADED, and when to come back: when the account's limit allows it,
-   when the queue is expected to have drained far enough for its deadline, or
-   when what is queued now is expected to be served.  */
+/* Admits, queues or refuses REQUEST without delay.  The error of a refusal is
+   ERR_UNAUTHORIZED (no such account), ERR_RATE_LIMITED,
+   ERR_DEADLINE_UNMEETABLE or ERR_OVERLOADED.  VERDICT's `retry_after_s' is the
+   time until, in this order, the account's limit allows the request, the queue
+   is expected to have drained far enough for its deadline, or all queued
+   requests are expected to have been served.  */
 enum adm_decision
 adm_arrive (struct adm *adm, const struct adm_request *request, int64_t now_us,
             struct adm_verdict *verdict)
@@ -340,39 +358,40 @@
       verdict->error = ERR_UNAUTHORIZED;
       return ADM_REFUSED;
     }
-  acc_arrived (account, request->tokens, now_us);
+  acc_count_arrival (account, request->tokens, now_us);
   int64_t wait_us = acc_wait_us (account, request->tokens, now_us);
   if (wait_us > 0)
     {
-      return refuse (verdict, ERR_RATE_LIMITED, wait_us);
+      return set_refusal (verdict, ERR_RATE_LIMITED, wait_us);
     }
   if (request->tokens == 0)
     {
       acc_charge (account, 0);
-      (void)remember (adm, request, account, STAGE_SERVICE);
+      (void)add_record (adm, request, account, STAGE_SERVICE);
       return ADM_ADMITTED;
     }
   int64_t slack_us = request->deadline_us - now_us
                      - service_time_us (adm, account, request);
   if (slack_us < 0)
     {
-      acc_expect_less (account);
+      acc_lower_estimate (account);
       verdict->error = ERR_DEADLINE_UNMEETABLE;
       return ADM_REFUSED;
     }
   double ahead = fq_cost_ahead (adm->queue, account->flow, request->priority);
-  bool room = has_room (adm) && fq_length (adm->queue) == 0;
-  /* What goes first is few, and need not wait for others to end. */
-  if (room || (ahead <= 0.0 && may_go_first (adm, account)))
+  bool free_slot = has_free_slot (adm) && fq_length (adm->queue) == 0;
+  /* Prioritized streams are few and don't wait for a free slot. */
+  if (free_slot || (ahead <= 0.0 && may_be_prioritized (adm, account)))
     {
       acc_charge (account, request->tokens);
-      return start_stream (adm, remember (adm, request, account, STAGE_QUEUED),
-                           verdict);
+      return start_stream (
+          adm, add_record (adm, request, account, STAGE_QUEUED), verdict);
     }
   int64_t queueing_us = drain_time_us (adm, ahead);
   if (queueing_us > slack_us)
     {
-      return refuse (verdict, ERR_DEADLINE_UNMEETABLE, queueing_us - slack_us);
+      return set_refusal (verdict, ERR_DEADLINE_UNMEETABLE,
+                          queueing_us - slack_us);
     }
   enum adm_decision decision = enqueue (adm, request, account, verdict);
   if (decision == ADM_QUEUED)
@@ -382,10 +401,11 @@
   return decision;
 }
 
-/* Returns what is due at NOW_US and sets ID: a queued request that is admitted
-   now that there is room, or one that is refused as its deadline can no longer
-   be met or others needed its place.  Call until ADM_NOTHING, after each
-   arrival and finish and when a deadline may have passed.  */
+/* Returns the next change of a queued request at NOW_US and sets ID to the
+   request: it is admitted because a slot is free, or refused because its
+   deadline can no longer be met or it was evicted from the full queue.  Call
+   until it returns ADM_NOTHING, after each adm_arrive, adm_finish and
+   adm_cancel and when a deadline may have passed.  */
 enum adm_decision
 adm_next (struct adm *adm, int64_t now_us, uint64_t *id,
           struct adm_verdict *verdict)
@@ -405,7 +425,7 @@
       g_free (refusal);
       return ADM_REFUSED;
     }
-  if (!has_room (adm) || !fq_pop (adm->queue, &item))
+  if (!has_free_slot (adm) || !fq_pop (adm->queue, &item))
     {
       return ADM_NOTHING;
     }
@@ -414,7 +434,8 @@
                        verdict);
 }
 
-/* Ends an admitted request that generated TOKENS.  Unknown ids are ignored. */
+/* Ends an admitted request that generated TOKENS.  A request that is still
+   queued is cancelled.  Unknown ids are ignored.  */
 void
 adm_finish (struct adm *adm, uint64_t id, uint32_t tokens, int64_t now_us)
 {
@@ -425,19 +446,20 @@
     }
   if (record->stage == STAGE_QUEUED)
     {
-      adm_give_up (adm, id, now_us);
+      adm_cancel (adm, id, now_us);
       return;
     }
   if (record->stage == STAGE_STREAMING && tokens > 0)
     {
-      acc_generated (record->account, record->request.tokens, tokens);
+      acc_observe_length (record->account, record->request.tokens, tokens);
     }
-  forget (adm, record, tokens);
+  remove_record (adm, record, tokens);
 }
 
-/* Takes back a request whose caller is gone, queued or under way.  */
+/* Cancels a queued or running request whose caller has disconnected.  Unknown
+   ids are ignored.  */
 void
-adm_give_up (struct adm *adm, uint64_t id, int64_t now_us)
+adm_cancel (struct adm *adm, uint64_t id, int64_t now_us)
 {
   (void)now_us;
   struct fq_item item;
@@ -450,34 +472,36 @@
     {
       (void)fq_remove (adm->queue, id, &item);
     }
-  forget (adm, record, 0);
+  remove_record (adm, record, 0);
 }
 
+/* Returns the retry budget of ENDPOINT, which is created on first use.  */
 static struct bkt_bucket *
-endpoint_budget (struct adm *adm, uint32_t endpoint, int64_t now_us)
+endpoint_retry_budget (struct adm *adm, uint32_t endpoint, int64_t now_us)
 {
-  struct bkt_bucket *bucket
-      = g_hash_table_lookup (adm->endpoints, GUINT_TO_POINTER (endpoint));
+  struct bkt_bucket *bucket = g_hash_table_lookup (
+      adm->endpoint_retries, GUINT_TO_POINTER (endpoint));
   if (bucket == NULL)
     {
       bucket = g_new0 (struct bkt_bucket, 1);
-      bkt_start (bucket, ENDPOINT_RETRIES_PER_S, ENDPOINT_RETRY_DEPTH, now_us);
-      g_hash_table_insert (adm->endpoints, GUINT_TO_POINTER (endpoint),
+      bkt_init (bucket, ENDPOINT_RETRIES_PER_S, ENDPOINT_RETRY_DEPTH, now_us);
+      g_hash_table_insert (adm->endpoint_retries, GUINT_TO_POINTER (endpoint),
                            bucket);
     }
-  /* One endpoint may carry every stream under way. */
-  bkt_deepen (bucket, ENDPOINT_RETRY_DEPTH + adm->streams, now_us);
+  /* All running streams may pass through one endpoint. */
+  bkt_grow_depth (bucket, ENDPOINT_RETRY_DEPTH + adm->streams, now_us);
   return bucket;
 }
 
-/* Returns whether a request of ACCOUNT that failed at ENDPOINT may be tried
-   again, and charges both budgets.  */
+/* Returns whether a request of account INDEX that failed at ENDPOINT may be
+   retried.  If so, one retry is taken from the account's and the endpoint's
+   budget.  */
 bool
 adm_retry_allowed (struct adm *adm, uint32_t index, uint32_t endpoint,
                    int64_t now_us)
 {
   struct acc_account *account = account_at (adm, index);
-  struct bkt_bucket *budget = endpoint_budget (adm, endpoint, now_us);
+  struct bkt_bucket *budget = endpoint_retry_budget (adm, endpoint, now_us);
   if (account == NULL || bkt_level (budget, now_us) < 1.0
       || !acc_take_retry (account, now_us))
     {
@@ -487,9 +511,9 @@
   return true;
 }
 
-/* Returns whether a second copy of a request that has not been answered may be
-   sent, and charges the account's budgets.  Never for one that is not
-   idempotent.  */
+/* Returns whether a hedge, a second copy of an unanswered request of account
+   INDEX, may be sent.  If so, it is taken from the account's budgets.
+   Requests that aren't idempotent are never hedged.  */
 bool
 adm_hedge_allowed (struct adm *adm, uint32_t index, bool idempotent,
                    int64_t now_us)
@@ -498,40 +522,41 @@
   return account != NULL && idempotent && acc_take_hedge (account, now_us);
 }
 
-/* Takes in the time between two tokens of a stream under way.  */
+/* Reports the time between two tokens of a running stream.  */
 void
 adm_observe_step (struct adm *adm, int64_t between_tokens_us)
 {
   con_observe (&adm->limit, between_tokens_us, adm->streams);
 }
 
-/* Sets DEMAND to what ACCOUNT asks of this daemon, to be told to others.  */
+/* Sets DEMAND to the demand of account INDEX on this daemon, to be reported to
+   the other daemons; zero if there is no such account.  */
 void
-adm_own_demand (struct adm *adm, uint32_t index, int64_t now_us,
-                struct adm_demand *demand)
+adm_local_demand (struct adm *adm, uint32_t index, int64_t now_us,
+                  struct adm_demand *demand)
 {
   struct acc_account *account = account_at (adm, index);
   *demand = (struct adm_demand){ .streams = 0 };
   if (account != NULL)
     {
-      acc_own_demand (account, now_us, demand);
+      acc_local_demand (account, now_us, demand);
     }
 }
 
-/* Takes in what ACCOUNT asks of all daemons together, this one included, and
-   divides its limits by it.  */
+/* Divides the limits of account INDEX according to FLEET, its demand on all
+   daemons, this one included.  */
 void
-adm_take_demand (struct adm *adm, uint32_t index,
-                 const struct adm_demand *fleet, int64_t now_us)
+adm_apply_fleet_demand (struct adm *adm, uint32_t index,
+                        const struct adm_demand *fleet, int64_t now_us)
 {
   struct acc_account *account = account_at (adm, index);
   if (account != NULL)
     {
-      acc_take_demand (account, fleet, now_us);
+      acc_apply_fleet_demand (account, fleet, now_us);
     }
 }
 
-/* Sets STATE to what is under way, for counters and reports.  */
+/* Sets STATE to the current load, for metrics and reports.  */
 void
 adm_read_state (const struct adm *adm, struct adm_state *state)
 {
--- a/src/core/bucket.c
+++ b/src/core/bucket.c
@@ -5,23 +5,24 @@
 #include <glib.h>
 #include <math.h>
 
-/* What rounding may leave missing. */
-#define ROUNDING 1e-6
+/* Missing tokens up to this amount are attributed to rounding. */
+#define ROUNDING_TOLERANCE 1e-6
 
-/* Starts a full bucket.  */
+/* Initializes BUCKET with DEPTH tokens.  */
 void
-bkt_start (struct bkt_bucket *bucket, double rate_per_s, double depth,
-           int64_t now_us)
+bkt_init (struct bkt_bucket *bucket, double rate_per_s, double depth,
+          int64_t now_us)
 {
   *bucket = (struct bkt_bucket){
     .level = depth,
     .rate_per_s = rate_per_s,
     .depth = depth,
-    .filled_at_us = now_us,
+    .refilled_at_us = now_us,
   };
 }
 
-/* Changes rate and depth; what is in the bucket stays.  */
+/* Changes the rate and the depth.  The current level is kept, but limited to
+   the new depth.  */
 void
 bkt_set_rate (struct bkt_bucket *bucket, double rate_per_s, double depth,
               int64_t now_us)
@@ -32,9 +33,10 @@
   bucket->level = MIN (level, depth);
 }
 
-/* Makes the bucket DEPTH deep when it is less, and fills what is added.  */
+/* Raises the bucket's depth to DEPTH, if it is smaller, and adds the
+   difference to the level.  */
 void
-bkt_deepen (struct bkt_bucket *bucket, double depth, int64_t now_us)
+bkt_grow_depth (struct bkt_bucket *bucket, double depth, int64_t now_us)
 {
   if (depth > bucket->depth)
     {
@@ -44,41 +46,43 @@
     }
 }
 
-/* Returns what is in the bucket at NOW_US; negative when overdrawn.  */
+/* Refills the bucket up to NOW_US and returns its level in tokens, negative
+   when overdrawn.  */
 double
 bkt_level (struct bkt_bucket *bucket, int64_t now_us)
 {
-  int64_t passed_us = now_us - bucket->filled_at_us;
-  if (passed_us > 0)
+  int64_t elapsed_us = now_us - bucket->refilled_at_us;
+  if (elapsed_us > 0)
     {
-      double filled
-          = bucket->level + bucket->rate_per_s * (double)passed_us / CLK_S_US;
-      bucket->level = MIN (filled, bucket->depth);
-      bucket->filled_at_us = now_us;
+      double refilled
+          = bucket->level + bucket->rate_per_s * (double)elapsed_us / CLK_S_US;
+      bucket->level = MIN (refilled, bucket->depth);
+      bucket->refilled_at_us = now_us;
     }
   return bucket->level;
 }
 
-/* Takes AMOUNT, more than there is if need be.  */
+/* Removes AMOUNT tokens, overdrawing the bucket if necessary.  */
 void
 bkt_take (struct bkt_bucket *bucket, double amount)
 {
   bucket->level -= amount;
 }
 
-/* Puts AMOUNT back, up to the bucket's depth.  */
+/* Adds AMOUNT tokens, up to the bucket's depth.  */
 void
-bkt_put (struct bkt_bucket *bucket, double amount)
+bkt_add (struct bkt_bucket *bucket, double amount)
 {
   bucket->level = MIN (bucket->level + amount, bucket->depth);
 }
 
-/* Returns how long until LEVEL is reached; INT64_MAX: never.  */
+/* Returns the microseconds until the bucket reaches LEVEL, or INT64_MAX if it
+   never does.  */
 int64_t
 bkt_wait_us (struct bkt_bucket *bucket, double level, int64_t now_us)
 {
   double missing = level - bkt_level (bucket, now_us);
-  if (missing <= ROUNDING)
+  if (missing <= ROUNDING_TOLERANCE)
     {
       return 0;
     }
@@ -86,5 +90,6 @@
     {
       return INT64_MAX;
     }
-  return (int64_t)ceil ((missing - ROUNDING) / bucket->rate_per_s * CLK_S_US);
+  return (int64_t)ceil ((missing - ROUNDING_TOLERANCE) / bucket->rate_per_s
+                        * CLK_S_US);
 }
--- a/test/admission_test.c
+++ b/test/admission_test.c
@@ -163,10 +163,10 @@
     {
       (void)arrive (busy, i, 0, 10, NOW_US, &verdict);
     }
-  adm_own_demand (busy, 0, NOW_US, &fleet);
+  adm_local_demand (busy, 0, NOW_US, &fleet);
   assert_true (fabs (fleet.requests_per_s - 100.0) < 1.0);
-  adm_take_demand (busy, 0, &fleet, NOW_US);
-  adm_take_demand (idle, 0, &fleet, NOW_US);
+  adm_apply_fleet_demand (busy, 0, &fleet, NOW_US);
+  adm_apply_fleet_demand (idle, 0, &fleet, NOW_US);
   /* A second later the busy daemon has 0.9 of the limit, the idle one 0.1. */
   int64_t later_us = NOW_US + CLK_S_US;
   for (uint64_t i = 500; i < 1000; i++)
@@ -345,7 +345,7 @@
     {
       if (id % 2 == 0)
         {
-          adm_give_up (adm, id, NOW_US);
+          adm_cancel (adm, id, NOW_US);
         }
       else
         {
@@ -354,7 +354,7 @@
       adm_finish (adm, id, 10, NOW_US);
     }
   adm_read_state (adm, &load);
-  adm_own_demand (adm, 0, NOW_US, &demand);
+  adm_local_demand (adm, 0, NOW_US, &demand);
   assert_int_equal (load.streams, 0);
   assert_int_equal (load.queued, 0);
   assert_int_equal (demand.streams, 0);
