--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -76,7 +76,7 @@
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   adm->endpoint_retries = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   adm->queue = fq_create ();
-  con_start (&adm->limit, 0.0, DEFAULT_BETWEEN_TOKENS_TARGET_US);
+  con_init (&adm->limit, 0.0, DEFAULT_BETWEEN_TOKENS_TARGET_US);
   return adm;
 }
 
@@ -199,7 +199,7 @@
 static int64_t
 drain_time_us (const struct adm *adm, double tokens)
 {
-  double rate = con_tokens_per_s (&adm->limit);
+  double rate = con_throughput_per_s (&adm->limit);
   return rate > 0.0 ? (int64_t)(tokens / rate * CLK_S_US) : 0;
 }
 
@@ -209,13 +209,13 @@
                  const struct adm_request *request)
 {
   return (int64_t)(acc_expected_tokens (account, request->tokens)
-                   * (double)con_cautious_us (&adm->limit));
+                   * (double)con_upper_estimate_us (&adm->limit));
 }
 
 static bool
 has_free_slot (const struct adm *adm)
 {
-  return adm->streams < con_streams (&adm->limit);
+  return adm->streams < con_max_streams (&adm->limit);
 }
 
 /* Stores REQUEST and counts it as an open stream of ACCOUNT.  */
@@ -243,7 +243,7 @@
   uint32_t others
       = adm->active_weight - (account->running_streams > 0 ? weight : 0);
   double share
-      = (double)con_streams (&adm->limit) * weight / (others + weight);
+      = (double)con_max_streams (&adm->limit) * weight / (others + weight);
   double prioritized_max
       = PRIORITIZED_FRACTION * con_unloaded_streams (&adm->limit);
   return account->running_streams + 1 <= MAX (share, 1.0)
@@ -317,12 +317,12 @@
 enqueue (struct adm *adm, const struct adm_request *request,
          struct acc_account *account, struct adm_verdict *verdict)
 {
-  int64_t drain_us = drain_time_us (adm, fq_cost (adm->queue));
+  int64_t drain_us = drain_time_us (adm, fq_total_cost (adm->queue));
   if (fq_length (adm->queue) >= adm->queue_length)
     {
       struct fq_item evicted;
-      if (fq_is_longest (adm->queue, account->flow)
-          || !fq_pop_longest (adm->queue, &evicted))
+      if (fq_has_longest_backlog (adm->queue, account->flow)
+          || !fq_evict (adm->queue, &evicted))
         {
           return set_refusal (verdict, ERR_OVERLOADED, drain_us);
         }
@@ -415,7 +415,7 @@
   if (fq_pop_expired (adm->queue, now_us, &item))
     {
       refuse_queued (adm, item.id, ERR_DEADLINE_UNMEETABLE,
-                     drain_time_us (adm, fq_cost (adm->queue)));
+                     drain_time_us (adm, fq_total_cost (adm->queue)));
     }
   struct refusal *refusal = g_queue_pop_head (&adm->refusals);
   if (refusal != NULL)
@@ -561,7 +561,7 @@
 adm_read_state (const struct adm *adm, struct adm_state *state)
 {
   *state = (struct adm_state){
-    .limit = con_streams (&adm->limit),
+    .limit = con_max_streams (&adm->limit),
     .streams = adm->streams,
     .queued = fq_length (adm->queue),
     .between_tokens_us = adm->limit.average_us,
--- a/src/core/concurrency.c
+++ b/src/core/concurrency.c
@@ -4,44 +4,54 @@
 
 #include <glib.h>
 
-/* Without a known capacity. */
-#define STREAMS_DEFAULT 32.0
+/* Streams assumed in place of Little's law when the capacity isn't known. */
+#define DEFAULT_STREAMS_MAX 32.0
+/* Lowest limit. */
 #define STREAMS_MIN 2.0
-/* The bound stays below this many times what Little's law gives. */
-#define LITTLE_MOST 2.0
+/* Highest limit, as a multiple of the streams that Little's law gives. */
+#define LITTLES_LAW_FACTOR_MAX 2.0
 
-#define SERVED_PROBED 1.1
+/* Multiple of the observed rate that the lower bound allows for, so
+   that spare capacity is discovered. */
+#define PROBE_FACTOR 1.1
 
-#define AVERAGE_WEIGHT 64
+/* Inverse weight of the newest observation in the moving averages. */
+#define AVERAGE_DIVISOR 64
+/* Mean deviations above the average in con_upper_estimate_us. */
 #define DEVIATIONS 2
-/* Tokens of each stream under way that make a round, so that what the last
-   change has brought about is seen before the next. */
+/* Length of a round in tokens of each running stream.  The limit changes once
+   per round, so that the effect of a change is observed before the next
+   one. */
 #define ROUND_TOKENS 32
-/* More than one in so many steps over target lowers the bound. */
+/* The limit is lowered when more than one in this many steps is over the
+   target. */
 #define OVER_TARGET_ONE_IN 20
-#define DECREASE_LEAST 0.98
-#define DECREASE_MOST 0.7
-#define INCREASE 1.02
-/* The unloaded time creeps up by one part in so many each round, so that it
-   follows a fleet that has become slower. */
-#define UNLOADED_CREEP 16384
-
-/* Returns the streams that Little's law gives: rate times time in system.  */
+/* Range of the factor that lowers the limit. */
+#define DECREASE_FACTOR_MAX 0.98
+#define DECREASE_FACTOR_MIN 0.7
+/* Factor that raises the limit. */
+#define INCREASE_FACTOR 1.02
+/* The unloaded time grows by one part in this many each round, so that it
+   adapts to a fleet that has become slower. */
+#define UNLOADED_GROWTH_DIVISOR 16384
+
+/* Returns the streams at which tokens take TIME_US at the full capacity, by
+   Little's law: rate times time in the system.  */
 static double
-little (const struct con_limit *limit, int64_t time_us)
+littles_law_streams (const struct con_limit *limit, int64_t time_us)
 {
   return limit->tokens_per_s * (double)time_us / CLK_S_US;
 }
 
-/* Returns the least bound: as many streams as fill an unloaded fleet, since
-   fewer would waste it even where the target cannot be met.  What is served
-   counts where it is less than the assumed capacity, and a little more, so
-   that a fleet that could serve more is found out.  */
+/* Returns the lowest useful limit: the streams that saturate an unloaded
+   fleet, since fewer would waste capacity even when the target can't be met.
+   If the observed rate, raised by PROBE_FACTOR to discover spare capacity, is
+   below the assumed capacity, the raised rate is used instead.  */
 static double
-least_streams (const struct con_limit *limit)
+lower_bound (const struct con_limit *limit)
 {
   double rate = limit->tokens_per_s;
-  double served = limit->served_per_s * SERVED_PROBED;
+  double served = limit->served_tokens_per_s * PROBE_FACTOR;
   if (served > 0.0 && (rate <= 0.0 || served < rate))
     {
       rate = served;
@@ -49,41 +59,44 @@
   return MAX (rate * (double)limit->unloaded_us / CLK_S_US, STREAMS_MIN);
 }
 
+/* Returns the highest allowed limit.  */
 static double
-most_streams (const struct con_limit *limit)
+upper_bound (const struct con_limit *limit)
 {
   int64_t time_us = MAX (limit->target_us, limit->unloaded_us);
-  double streams
-      = limit->tokens_per_s > 0.0 ? little (limit, time_us) : STREAMS_DEFAULT;
-  return streams * LITTLE_MOST;
+  double streams = limit->tokens_per_s > 0.0
+                       ? littles_law_streams (limit, time_us)
+                       : DEFAULT_STREAMS_MAX;
+  return streams * LITTLES_LAW_FACTOR_MAX;
 }
 
 static void
 clamp_streams (struct con_limit *limit)
 {
-  double most = MAX (most_streams (limit), STREAMS_MIN);
-  double least = MIN (least_streams (limit), most);
-  limit->streams = CLAMP (limit->streams, least, most);
+  double upper = MAX (upper_bound (limit), STREAMS_MIN);
+  double lower = MIN (lower_bound (limit), upper);
+  limit->max_streams = CLAMP (limit->max_streams, lower, upper);
 }
 
-/* Starts from Little's law: as many streams as the capacity serves with
-   TARGET_US between tokens.  */
+/* Initializes LIMIT for a capacity of TOKENS_PER_S (0: unknown) and TARGET_US
+   between tokens.  The limit starts at what Little's law gives for these.  */
 void
-con_start (struct con_limit *limit, double tokens_per_s, int64_t target_us)
+con_init (struct con_limit *limit, double tokens_per_s, int64_t target_us)
 {
   *limit = (struct con_limit){
     .tokens_per_s = tokens_per_s,
     .target_us = target_us,
-    .streams = STREAMS_DEFAULT,
+    .max_streams = DEFAULT_STREAMS_MAX,
   };
   if (tokens_per_s > 0.0)
     {
-      limit->streams = little (limit, target_us);
+      limit->max_streams = littles_law_streams (limit, target_us);
     }
   clamp_streams (limit);
 }
 
-/* Changes the capacity; the bound changes in proportion.  */
+/* Changes the capacity; the limit changes in proportion.  With another target,
+   or if the old or new capacity is unknown, LIMIT is initialized again.  */
 void
 con_set_capacity (struct con_limit *limit, double tokens_per_s,
                   int64_t target_us)
@@ -91,111 +104,119 @@
   if (limit->tokens_per_s <= 0.0 || tokens_per_s <= 0.0
       || target_us != limit->target_us)
     {
-      con_start (limit, tokens_per_s, target_us);
+      con_init (limit, tokens_per_s, target_us);
       return;
     }
-  limit->streams *= tokens_per_s / limit->tokens_per_s;
+  limit->max_streams *= tokens_per_s / limit->tokens_per_s;
   limit->tokens_per_s = tokens_per_s;
   clamp_streams (limit);
 }
 
-/* Returns the factor that brings most steps to the target when the time
-   between tokens is in proportion to the streams.  */
+/* Returns the factor for the limit that brings most steps down to the target,
+   assuming that the time between tokens is proportional to the streams.  */
 static double
-decrease_of (const struct con_limit *limit)
+decrease_factor (const struct con_limit *limit)
 {
-  double factor = (double)limit->target_us / (double)con_cautious_us (limit);
-  return CLAMP (factor, DECREASE_MOST, DECREASE_LEAST);
+  double factor
+      = (double)limit->target_us / (double)con_upper_estimate_us (limit);
+  return CLAMP (factor, DECREASE_FACTOR_MIN, DECREASE_FACTOR_MAX);
 }
 
-/* Ends a round: lowers the bound when too many steps were over target, and
-   raises it when it was what held streams back and they were not.  While more
-   streams are under way than the bound allows, its last decrease has not had
-   its effect and it is not lowered further.  */
+/* Ends a round.  Lowers the limit when too many steps were over the target;
+   otherwise raises the limit if it was reached.  The limit isn't lowered while
+   more streams are running than it allows, since the previous decrease hasn't
+   taken effect yet.  */
 static void
-end_round (struct con_limit *limit, uint32_t under_way)
+end_round (struct con_limit *limit, uint32_t running_streams)
 {
-  uint32_t bound = con_streams (limit);
+  uint32_t limit_before = con_max_streams (limit);
   if (limit->unloaded_us == 0 || limit->average_us < limit->unloaded_us)
     {
       limit->unloaded_us = limit->average_us;
     }
   else
     {
-      limit->unloaded_us += limit->unloaded_us / UNLOADED_CREEP;
+      limit->unloaded_us += limit->unloaded_us / UNLOADED_GROWTH_DIVISOR;
     }
-  limit->served_per_s
-      = under_way * (double)CLK_S_US / (double)MAX (limit->average_us, 1);
+  limit->served_tokens_per_s = running_streams * (double)CLK_S_US
+                               / (double)MAX (limit->average_us, 1);
   if (limit->over_target * OVER_TARGET_ONE_IN > limit->observed)
     {
-      limit->streams *= under_way <= bound ? decrease_of (limit) : 1.0;
+      limit->max_streams
+          *= running_streams <= limit_before ? decrease_factor (limit) : 1.0;
     }
-  else if (under_way >= bound)
+  else if (running_streams >= limit_before)
     {
-      limit->streams = MAX (limit->streams * INCREASE, limit->streams + 1.0);
+      limit->max_streams = MAX (limit->max_streams * INCREASE_FACTOR,
+                                limit->max_streams + 1.0);
     }
   limit->observed = 0;
   limit->over_target = 0;
   clamp_streams (limit);
 }
 
-/* Takes in the time between two tokens of one of the streams UNDER_WAY.  */
+/* Reports the time between two tokens of one stream while RUNNING_STREAMS are
+   running.  */
 void
 con_observe (struct con_limit *limit, int64_t between_tokens_us,
-             uint32_t under_way)
+             uint32_t running_streams)
 {
   if (limit->average_us == 0)
     {
       limit->average_us = between_tokens_us;
     }
   int64_t error_us = between_tokens_us - limit->average_us;
-  int64_t size_us = ABS (error_us);
-  limit->average_us += error_us / AVERAGE_WEIGHT;
-  limit->deviation_us += (size_us - limit->deviation_us) / AVERAGE_WEIGHT;
+  int64_t magnitude_us = ABS (error_us);
+  limit->average_us += error_us / AVERAGE_DIVISOR;
+  limit->deviation_us
+      += (magnitude_us - limit->deviation_us) / AVERAGE_DIVISOR;
   limit->observed++;
   if (between_tokens_us > limit->target_us)
     {
       limit->over_target++;
     }
-  if (limit->observed >= ROUND_TOKENS * MAX (under_way, 1))
+  if (limit->observed >= ROUND_TOKENS * MAX (running_streams, 1))
     {
-      end_round (limit, under_way);
+      end_round (limit, running_streams);
     }
 }
 
-/* Returns a time between tokens that most streams stay below.  */
+/* Returns the time between tokens, in microseconds, that most steps stay
+   below.  */
 int64_t
-con_cautious_us (const struct con_limit *limit)
+con_upper_estimate_us (const struct con_limit *limit)
 {
   return limit->average_us + DEVIATIONS * limit->deviation_us;
 }
 
-/* Returns the bound.  */
+/* Returns the limit on concurrent streams.  */
 uint32_t
-con_streams (const struct con_limit *limit)
+con_max_streams (const struct con_limit *limit)
 {
-  return (uint32_t)limit->streams;
+  return (uint32_t)limit->max_streams;
 }
 
-/* Returns how many streams fill the capacity when none waits for another; the
-   bound itself where that is not known.  */
+/* Returns the number of streams that saturate the capacity without queueing in
+   engines, or the limit if the capacity or the unloaded time isn't known.  */
 double
 con_unloaded_streams (const struct con_limit *limit)
 {
-  double streams = little (limit, limit->unloaded_us);
-  return streams > 0.0 ? MIN (streams, limit->streams) : limit->streams;
+  double streams = littles_law_streams (limit, limit->unloaded_us);
+  return streams > 0.0 ? MIN (streams, limit->max_streams)
+                       : limit->max_streams;
 }
 
-/* Returns the rate at which tokens are generated with the bound reached: by
-   Little's law from the observed time, at most the capacity where it is
-   known; 0 when nothing is known.  */
+/* Returns the rate, in tokens per second, at which tokens are generated when
+   the limit is reached: by Little's law from the observed time between tokens,
+   limited to the capacity if that is known.  Without observations it is the
+   capacity, 0 if unknown.  */
 double
-con_tokens_per_s (const struct con_limit *limit)
+con_throughput_per_s (const struct con_limit *limit)
 {
   if (limit->average_us <= 0)
     {
       return limit->tokens_per_s;
     }
-  double rate = limit->streams * CLK_S_US / (double)limit->average_us;
+  double rate = limit->max_streams * CLK_S_US / (double)limit->average_us;
   return limit->tokens_per_s > 0.0 ? MIN (rate, limit->tokens_per_s) : rate;
 }
--- a/src/core/fair.c
+++ b/src/core/fair.c
@@ -4,53 +4,54 @@
 
 struct flow;
 
+/* A queued item. */
 struct entry
 {
   struct fq_item item;
   struct flow *flow;
-  GList *link; /* in the flow's list of its priority */
+  GList *link; /* in the flow's list for the item's priority */
 };
 
 struct flow
 {
   uint32_t index;
   uint32_t weight;
-  GQueue waiting[FQ_PRIORITIES]; /* struct entry, oldest first */
-  double cost[FQ_PRIORITIES];
-  uint32_t length;
-  double backlog; /* cost over weight */
-  double start;   /* virtual time at which the next item is due */
+  GQueue items[FQ_PRIORITIES]; /* struct entry, oldest first */
+  double cost[FQ_PRIORITIES];  /* total of each list */
+  uint32_t length;             /* items in all lists */
+  double backlog;              /* total cost divided by weight */
+  double start_tag;            /* virtual time at which the next item is due */
 };
 
 struct fq_queue
 {
-  GHashTable *flows;   /* by index */
-  GHashTable *entries; /* by id */
-  GTree *by_start;     /* backlogged flows, earliest first */
-  GTree *by_backlog;   /* backlogged flows, longest first */
+  GHashTable *flows;   /* index to struct flow, owned */
+  GHashTable *entries; /* item id to struct entry, owned */
+  GTree *by_start_tag; /* backlogged flows, earliest start tag first */
+  GTree *by_backlog;   /* backlogged flows, longest backlog first */
   GTree *by_deadline;  /* entries, earliest latest start first */
-  double virtual_time;
-  double cost;
-  double weight; /* of all backlogged flows */
+  double virtual_time; /* start tag of the flow served last */
+  double cost;         /* total of all items */
+  double weight;       /* total of all backlogged flows */
 };
 
 static gint
-compare_index (uint64_t a, uint64_t b)
+compare_numbers (uint64_t a, uint64_t b)
 {
   return a < b ? -1 : a > b;
 }
 
 static gint
-compare_start (gconstpointer left, gconstpointer right, gpointer unused)
+compare_start_tag (gconstpointer left, gconstpointer right, gpointer unused)
 {
   (void)unused;
   const struct flow *a = left;
   const struct flow *b = right;
-  if (a->start != b->start)
+  if (a->start_tag != b->start_tag)
     {
-      return a->start < b->start ? -1 : 1;
+      return a->start_tag < b->start_tag ? -1 : 1;
     }
-  return compare_index (a->index, b->index);
+  return compare_numbers (a->index, b->index);
 }
 
 static gint
@@ -63,7 +64,7 @@
     {
       return a->backlog > b->backlog ? -1 : 1;
     }
-  return compare_index (a->index, b->index);
+  return compare_numbers (a->index, b->index);
 }
 
 static gint
@@ -76,7 +77,7 @@
     {
       return a->latest_start_us < b->latest_start_us ? -1 : 1;
     }
-  return compare_index (a->id, b->id);
+  return compare_numbers (a->id, b->id);
 }
 
 static void
@@ -85,7 +86,7 @@
   struct flow *flow = data;
   for (int i = 0; i < FQ_PRIORITIES; i++)
     {
-      g_queue_clear (&flow->waiting[i]);
+      g_queue_clear (&flow->items[i]);
     }
   g_free (flow);
 }
@@ -98,7 +99,7 @@
   queue->flows = g_hash_table_new_full (NULL, NULL, NULL, free_flow);
   queue->entries
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  queue->by_start = g_tree_new_with_data (compare_start, NULL);
+  queue->by_start_tag = g_tree_new_with_data (compare_start_tag, NULL);
   queue->by_backlog = g_tree_new_with_data (compare_backlog, NULL);
   queue->by_deadline = g_tree_new_with_data (compare_deadline, NULL);
   return queue;
@@ -112,7 +113,7 @@
     {
       return;
     }
-  g_tree_destroy (queue->by_start);
+  g_tree_destroy (queue->by_start_tag);
   g_tree_destroy (queue->by_backlog);
   g_tree_destroy (queue->by_deadline);
   g_hash_table_destroy (queue->entries);
@@ -126,8 +127,10 @@
   return g_hash_table_lookup (queue->flows, GUINT_TO_POINTER (index));
 }
 
+/* Returns the flow at INDEX, which is created with a weight of 1 on first
+   use.  */
 static struct flow *
-need_flow (struct fq_queue *queue, uint32_t index)
+find_or_create_flow (struct fq_queue *queue, uint32_t index)
 {
   struct flow *flow = find_flow (queue, index);
   if (flow == NULL)
@@ -140,18 +143,21 @@
   return flow;
 }
 
-/* Takes a backlogged flow out of the trees before its keys change.  */
+/* Removes a backlogged flow from the trees.  Must be called before a change of
+   the fields by which the trees are ordered.  */
 static void
 detach (struct fq_queue *queue, struct flow *flow)
 {
   if (flow->length > 0)
     {
-      g_tree_remove (queue->by_start, flow);
+      g_tree_remove (queue->by_start_tag, flow);
       g_tree_remove (queue->by_backlog, flow);
       queue->weight -= flow->weight;
     }
 }
 
+/* Recomputes the backlog of a flow and returns it to the trees; reverses
+   detach.  */
 static void
 attach (struct fq_queue *queue, struct flow *flow)
 {
@@ -163,45 +169,45 @@
           cost += flow->cost[i];
         }
       flow->backlog = cost / flow->weight;
-      g_tree_insert (queue->by_start, flow, flow);
+      g_tree_insert (queue->by_start_tag, flow, flow);
       g_tree_insert (queue->by_backlog, flow, flow);
       queue->weight += flow->weight;
     }
 }
 
-/* Sets the weight of a flow; 0 counts as 1.  */
+/* Sets the weight of the flow at INDEX; 0 counts as 1.  */
 void
 fq_set_weight (struct fq_queue *queue, uint32_t index, uint32_t weight)
 {
-  struct flow *flow = need_flow (queue, index);
+  struct flow *flow = find_or_create_flow (queue, index);
   detach (queue, flow);
   flow->weight = MAX (weight, 1);
   attach (queue, flow);
 }
 
 static uint32_t
-level_of (uint32_t priority)
+clamp_priority (uint32_t priority)
 {
   return MIN (priority, FQ_PRIORITIES - 1);
 }
 
-/* Appends ITEM, whose id must not be queued already.  */
+/* Adds ITEM, whose id must not be queued already.  */
 void
 fq_push (struct fq_queue *queue, const struct fq_item *item)
 {
-  struct flow *flow = need_flow (queue, item->flow);
-  uint32_t level = level_of (item->priority);
+  struct flow *flow = find_or_create_flow (queue, item->flow);
+  uint32_t priority = clamp_priority (item->priority);
   struct entry *entry = g_new0 (struct entry, 1);
   entry->item = *item;
   entry->flow = flow;
   detach (queue, flow);
   if (flow->length == 0)
     {
-      flow->start = MAX (flow->start, queue->virtual_time);
+      flow->start_tag = MAX (flow->start_tag, queue->virtual_time);
     }
-  g_queue_push_tail (&flow->waiting[level], entry);
-  entry->link = g_queue_peek_tail_link (&flow->waiting[level]);
-  flow->cost[level] += item->cost;
+  g_queue_push_tail (&flow->items[priority], entry);
+  entry->link = g_queue_peek_tail_link (&flow->items[priority]);
+  flow->cost[priority] += item->cost;
   flow->length++;
   attach (queue, flow);
   queue->cost += item->cost;
@@ -209,18 +215,20 @@
   g_tree_insert (queue->by_deadline, entry, entry);
 }
 
-/* Takes ENTRY out and frees it; its item goes to ITEM.  */
+/* Removes ENTRY from the queue, copies its item to ITEM and frees it.  */
 static void
-take (struct fq_queue *queue, struct entry *entry, struct fq_item *item)
+remove_entry (struct fq_queue *queue, struct entry *entry,
+              struct fq_item *item)
 {
   struct flow *flow = entry->flow;
-  uint32_t level = level_of (entry->item.priority);
+  uint32_t priority = clamp_priority (entry->item.priority);
   *item = entry->item;
   detach (queue, flow);
-  g_queue_delete_link (&flow->waiting[level], entry->link);
+  g_queue_delete_link (&flow->items[priority], entry->link);
   flow->length--;
-  flow->cost[level]
-      = flow->waiting[level].length > 0 ? flow->cost[level] - item->cost : 0.0;
+  flow->cost[priority] = flow->items[priority].length > 0
+                             ? flow->cost[priority] - item->cost
+                             : 0.0;
   attach (queue, flow);
   g_tree_remove (queue->by_deadline, entry);
   g_hash_table_remove (queue->entries, &item->id);
@@ -234,30 +242,31 @@
   return node != NULL ? g_tree_node_value (node) : NULL;
 }
 
-/* Takes out the item to be served next and charges its flow for it.  Returns
-   false when the queue is empty.  */
+/* Removes the item to be served next and charges its cost to its flow.
+   Returns false when the queue is empty.  */
 bool
 fq_pop (struct fq_queue *queue, struct fq_item *item)
 {
-  struct flow *flow = first_flow (queue->by_start);
+  struct flow *flow = first_flow (queue->by_start_tag);
   if (flow == NULL)
     {
       return false;
     }
-  int level = 0;
-  while (flow->waiting[level].length == 0)
+  int priority = 0;
+  while (flow->items[priority].length == 0)
     {
-      level++;
+      priority++;
     }
-  queue->virtual_time = flow->start;
-  take (queue, g_queue_peek_head (&flow->waiting[level]), item);
+  queue->virtual_time = flow->start_tag;
+  remove_entry (queue, g_queue_peek_head (&flow->items[priority]), item);
   detach (queue, flow);
-  flow->start += item->cost / flow->weight;
+  flow->start_tag += item->cost / flow->weight;
   attach (queue, flow);
   return true;
 }
 
-/* Takes out an item whose latest start is before NOW_US.  */
+/* Removes one item whose latest start is before NOW_US.  Returns false when
+   there is none.  */
 bool
 fq_pop_expired (struct fq_queue *queue, int64_t now_us, struct fq_item *item)
 {
@@ -267,30 +276,30 @@
     {
       return false;
     }
-  take (queue, entry, item);
+  remove_entry (queue, entry, item);
   return true;
 }
 
-/* Takes out the newest item of the lowest priority of the flow whose backlog
-   is longest for its weight.  */
+/* Removes the newest item of the lowest priority in the flow with the longest
+   backlog relative to its weight.  Returns false when the queue is empty.  */
 bool
-fq_pop_longest (struct fq_queue *queue, struct fq_item *item)
+fq_evict (struct fq_queue *queue, struct fq_item *item)
 {
   struct flow *flow = first_flow (queue->by_backlog);
   if (flow == NULL)
     {
       return false;
     }
-  int level = FQ_PRIORITIES - 1;
-  while (flow->waiting[level].length == 0)
+  int priority = FQ_PRIORITIES - 1;
+  while (flow->items[priority].length == 0)
     {
-      level--;
+      priority--;
     }
-  take (queue, g_queue_peek_tail (&flow->waiting[level]), item);
+  remove_entry (queue, g_queue_peek_tail (&flow->items[priority]), item);
   return true;
 }
 
-/* Takes out the item called ID; false when it is not queued.  */
+/* Removes the item with ID.  Returns false when it isn't queued.  */
 bool
 fq_remove (struct fq_queue *queue, uint64_t id, struct fq_item *item)
 {
@@ -299,27 +308,27 @@
     {
       return false;
     }
-  take (queue, entry, item);
+  remove_entry (queue, entry, item);
   return true;
 }
 
-/* Returns the number of items.  */
+/* Returns the number of queued items.  */
 uint32_t
 fq_length (const struct fq_queue *queue)
 {
   return g_hash_table_size (queue->entries);
 }
 
-/* Returns the cost of all items.  */
+/* Returns the total cost of all queued items.  */
 double
-fq_cost (const struct fq_queue *queue)
+fq_total_cost (const struct fq_queue *queue)
 {
   return queue->cost;
 }
 
-/* Returns about how much is served before a new item of FLOW at PRIORITY: what
-   of the flow itself goes before it, while the other flows get their shares of
-   service, but no more than all that waits.  */
+/* Estimates the cost that is served before a new item of the flow at INDEX
+   with PRIORITY: the flow's own items that precede the new one, plus the other
+   flows' shares of service meanwhile, limited to the total cost.  */
 double
 fq_cost_ahead (const struct fq_queue *queue, uint32_t index, uint32_t priority)
 {
@@ -328,20 +337,20 @@
     {
       return 0.0;
     }
-  double own = 0.0;
-  for (uint32_t i = 0; i <= level_of (priority); i++)
+  double own_cost = 0.0;
+  for (uint32_t i = 0; i <= clamp_priority (priority); i++)
     {
-      own += flow->cost[i];
+      own_cost += flow->cost[i];
     }
   double weight = queue->weight + (flow->length == 0 ? flow->weight : 0);
-  return MIN (queue->cost, own * weight / flow->weight);
+  return MIN (queue->cost, own_cost * weight / flow->weight);
 }
 
-/* Returns whether FLOW is the one whose backlog is longest for its weight; a
-   flow without items never is.  */
+/* Returns whether the flow at INDEX has the longest backlog relative to its
+   weight.  A flow without items never has.  */
 bool
-fq_is_longest (const struct fq_queue *queue, uint32_t index)
+fq_has_longest_backlog (const struct fq_queue *queue, uint32_t index)
 {
-  const struct flow *longest = first_flow (queue->by_backlog);
-  return longest != NULL && longest->index == index;
+  const struct flow *longest_flow = first_flow (queue->by_backlog);
+  return longest_flow != NULL && longest_flow->index == index;
 }
--- a/test/admission_test.c
+++ b/test/admission_test.c
@@ -465,11 +465,11 @@
     }
   assert_in_range (served[1], 89, 91);
   assert_int_equal (fq_length (queue), 280);
-  assert_true (fabs (fq_cost (queue) - 2800) < 1e-6);
+  assert_true (fabs (fq_total_cost (queue) - 2800) < 1e-6);
   while (fq_pop (queue, &item))
     {
     }
-  assert_true (fq_cost (queue) == 0.0);
+  assert_true (fq_total_cost (queue) == 0.0);
   fq_destroy (queue);
 }
 
@@ -503,7 +503,7 @@
     {
       const struct capacity_case *row = &capacity_cases[i];
       struct con_limit limit;
-      con_start (&limit, row->assumed, 39 * CLK_MS_US);
+      con_init (&limit, row->assumed, 39 * CLK_MS_US);
       /* It starts idle, as daemons do. */
       for (int j = 0; j < 32; j++)
         {
@@ -511,12 +511,12 @@
         }
       for (int j = 0; j < 1000000; j++)
         {
-          uint32_t streams = con_streams (&limit);
+          uint32_t streams = con_max_streams (&limit);
           int64_t between_us = (int64_t)(streams * CLK_S_US / row->real);
           con_observe (&limit, MAX (between_us, row->unloaded_us), streams);
         }
-      print_message ("row: %s (%u)\n", row->name, con_streams (&limit));
-      assert_in_range (con_streams (&limit), row->least, row->most);
+      print_message ("row: %s (%u)\n", row->name, con_max_streams (&limit));
+      assert_in_range (con_max_streams (&limit), row->least, row->most);
     }
 }
 
