--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -4,7 +4,8 @@
 #define STATUS_UNAVAILABLE 503
 #define STATUS_GATEWAY_TIMEOUT 504
 
-/* True when REQUEST may be sent again although an attempt may have run.  */
+/* Returns whether REQUEST may be sent again although an attempt may have
+   run.  */
 static bool
 is_repeatable (const struct att_request *request)
 {
@@ -12,10 +13,10 @@
          || (request->repeat == FLT_REPEAT_STREAM && request->resumable);
 }
 
-/* Decides what REQUEST gets when it isn't sent again.  */
+/* Sets VERDICT to the action that ends REQUEST when it isn't sent again.  */
 static void
-decide_answer (const struct att_request *request, enum att_end end,
-               struct att_verdict *verdict)
+set_final_action (const struct att_request *request, enum att_end end,
+                  struct att_verdict *verdict)
 {
   if (request->answer_begun)
     {
@@ -42,46 +43,50 @@
     }
 }
 
-/* Decides what becomes of REQUEST after an attempt that ended by END.  A
-   verdict with `needs_budget' holds only if the budget of repeats allows it;
-   else att_decide_unpaid tells.  */
+/* Sets VERDICT to the next action for REQUEST after an attempt that ended with
+   END.  If the verdict has `needs_budget' set, the caller must take a repeat
+   from the retry budget; if the budget is exhausted, att_decide_unpaid gives
+   the action instead.  */
 void
 att_decide (const struct att_request *request, enum att_end end,
             struct att_verdict *verdict)
 {
   *verdict = (struct att_verdict){ 0 };
-  bool spent = request->may_have_run >= request->attempts_max
-               || request->sent >= ATT_ARRIVALS_MAX;
-  bool late = request->left_us < ATT_LEAST_LEFT_US;
-  bool allowed = request->may_have_run == 0 || is_repeatable (request);
-  if (end == ATT_TIMED_OUT || spent || late || !allowed)
+  bool attempts_exhausted = request->may_have_run >= request->attempts_max
+                            || request->sent >= ATT_SENT_MAX;
+  bool too_late = request->left_us < ATT_MIN_LEFT_US;
+  bool may_send_again = request->may_have_run == 0 || is_repeatable (request);
+  if (end == ATT_TIMED_OUT || attempts_exhausted || too_late
+      || !may_send_again)
     {
-      decide_answer (request, end, verdict);
+      set_final_action (request, end, verdict);
       return;
     }
   verdict->next = request->answer_begun ? ATT_RESUME : ATT_RETRY;
   verdict->needs_budget = request->sent > 0;
 }
 
-/* True when the attempt under way of REQUEST may be given up for another one,
-   because its endpoint is silent: silence alone never ends a request.  */
+/* Returns whether the current attempt of REQUEST may be abandoned because its
+   endpoint doesn't respond.  It may only if another attempt can follow: a
+   missing response alone never ends a request.  */
 bool
 att_may_abandon (const struct att_request *request)
 {
-  struct att_request after = *request;
+  struct att_request silent_request = *request;
   struct att_verdict verdict;
-  after.may_have_run++;
-  after.sent++;
-  att_decide (&after, ATT_SILENT, &verdict);
+  silent_request.may_have_run++;
+  silent_request.sent++;
+  att_decide (&silent_request, ATT_SILENT, &verdict);
   return verdict.next == ATT_RETRY || verdict.next == ATT_RESUME;
 }
 
-/* Decides what becomes of REQUEST when it isn't sent again, because the budget
-   of repeats is spent or no endpoint is left.  */
+/* Sets VERDICT to the action that ends REQUEST after an attempt that ended
+   with END, because the retry budget is exhausted or no endpoint is
+   available.  */
 void
 att_decide_unpaid (const struct att_request *request, enum att_end end,
                    struct att_verdict *verdict)
 {
   *verdict = (struct att_verdict){ 0 };
-  decide_answer (request, end, verdict);
+  set_final_action (request, end, verdict);
 }
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -1,57 +1,61 @@
-/* What becomes of a request after one attempt at an endpoint failed.  Answers
-   the loads of crashes, lost answers and endpoints that are full: a request
-   that may have run is never run again unless it may be repeated, and an
-   answer says "not run" only where that is certain. */
+/* Retry policy: decides how a request continues after a failed attempt at an
+   endpoint, for example because the endpoint crashed, the response was lost or
+   the endpoint is full.  A request that may have run is sent again only if its
+   repeat rule allows that, and a response states "not run" only when that is
+   certain. */
 #ifndef CORE_ATTEMPT_H
 #define CORE_ATTEMPT_H
 
 #include "core/fleet.h"
 
-/* How an attempt ended, other than by a whole success. */
+/* Ways in which an attempt ends, other than with a complete response. */
 enum att_end
 {
-  ATT_NOT_SENT, /* no connection; nothing arrived */
-  ATT_NOT_RUN,  /* the endpoint states that it didn't run the request */
-  ATT_FAILED,   /* the endpoint answered with a failure of its own */
-  ATT_CUT_OFF,  /* no whole answer came; it may have run */
-  ATT_SPOILED,  /* an answer that isn't this request's whole answer */
-  ATT_SILENT,   /* given up after a silence; it may have run */
-  ATT_TIMED_OUT /* the request's time is over */
+  ATT_NOT_SENT, /* no connection; the request wasn't sent */
+  ATT_NOT_RUN,  /* the endpoint stated that it didn't run the request */
+  ATT_FAILED,   /* the endpoint responded with an error of its own */
+  ATT_CUT_OFF,  /* the response was incomplete; the request may have run */
+  ATT_SPOILED,  /* the response is invalid or belongs to another request */
+  ATT_SILENT,   /* abandoned without a response; the request may have run */
+  ATT_TIMED_OUT /* the request's deadline has passed */
 };
 
+/* Next action for a request. */
 enum att_next
 {
-  ATT_RETRY,        /* send the request again */
-  ATT_RESUME,       /* go on after the last event that was delivered */
-  ATT_PASS_FAILURE, /* deliver the endpoint's own failure */
-  ATT_ANSWER,       /* deliver an answer of our own */
-  ATT_BREAK_OFF     /* end the caller's connection: an answer was begun */
+  ATT_RETRY,  /* send the request again */
+  ATT_RESUME, /* send it again, to continue after the last delivered event */
+  ATT_PASS_FAILURE, /* deliver the endpoint's error response */
+  ATT_ANSWER,       /* deliver an error response generated here */
+  ATT_BREAK_OFF     /* the response has begun: close the caller's connection */
 };
 
+/* State of a request after its latest attempt. */
 struct att_request
 {
-  enum flt_repeat repeat;
-  bool resumable;
-  bool answer_begun;     /* the caller has the headers of a stream */
-  uint32_t attempts_max; /* endpoints that may run it */
-  uint32_t may_have_run; /* attempts so far that may have run, this one too */
-  uint32_t sent;         /* attempts so far that arrived or may have */
-  int64_t left_us;       /* until the request's deadline */
+  enum flt_repeat repeat; /* repeat rule of the request's route */
+  bool resumable;         /* the stream can continue after its last event */
+  bool answer_begun;      /* response headers were sent to the caller */
+  uint32_t attempts_max;  /* attempts that may run the request */
+  uint32_t may_have_run;  /* attempts that may have run, the latest included */
+  uint32_t sent;   /* attempts that reached or may have reached an endpoint */
+  int64_t left_us; /* time until the request's deadline */
 };
 
 struct att_verdict
 {
   enum att_next next;
-  bool needs_budget; /* ATT_RETRY, ATT_RESUME: counts as a repeat */
-  uint32_t status;   /* ATT_ANSWER */
+  bool needs_budget; /* ATT_RETRY, ATT_RESUME: must be taken from the budget */
+  uint32_t status;   /* ATT_ANSWER: HTTP status code */
 };
 
-/* Attempts that were refused before they ran don't count against the route's
-   limit; this many arrivals end a request in any case. */
-#define ATT_ARRIVALS_MAX 5
+/* Limit on the attempts of a request that reach an endpoint.  Attempts that an
+   endpoint refused without running them count only against this limit, not
+   against the route's `attempts_max'. */
+#define ATT_SENT_MAX 5
 
-/* With less time left than this, another attempt can't be of use. */
-#define ATT_LEAST_LEFT_US 20000
+/* Least remaining time for another attempt to be useful. */
+#define ATT_MIN_LEFT_US 20000
 
 void att_decide (const struct att_request *request, enum att_end end,
                  struct att_verdict *verdict);
--- a/src/core/evidence.h
+++ b/src/core/evidence.h
@@ -1,7 +1,9 @@
-/* What the requests of this daemon prove about one endpoint.  Answers the
-   loads of endpoints that crash, hang, fail part of their requests or go up
-   and down while their health check and the list call them good: one that
-   fails gets no work for a growing time, then a single request as proof. */
+/* Passive health check of one endpoint, a circuit breaker driven by the
+   results of this daemon's requests.  It detects endpoints that crash, hang,
+   fail part of their requests or flap while their own health check and the
+   list of endpoints report them as healthy.  After a failure, an endpoint gets
+   no requests for a backoff period that grows exponentially, and then a single
+   probe request. */
 #ifndef CORE_EVIDENCE_H
 #define CORE_EVIDENCE_H
 
@@ -10,29 +12,29 @@
 
 enum evd_state
 {
-  EVD_GOOD,
-  EVD_RESTING, /* gets no work */
-  EVD_PROVING  /* gets one request at a time */
+  EVD_HEALTHY, /* gets requests without limit */
+  EVD_BACKOFF, /* in backoff, gets no requests */
+  EVD_PROVING  /* backoff is over, gets one request at a time */
 };
 
-/* What a failure proves. */
+/* What a failure shows about the endpoint. */
 enum evd_proof
 {
-  EVD_DOUBT,   /* little by itself */
-  EVD_REFUSAL, /* the endpoint lives, and can't serve now */
-  EVD_UNABLE,  /* it can't serve now; whether it lives isn't known */
-  EVD_DEATH    /* it doesn't answer anybody */
+  EVD_DOUBT,   /* inconclusive by itself */
+  EVD_REFUSAL, /* alive, but can't serve requests now */
+  EVD_UNABLE,  /* can't serve requests now; may be alive or dead */
+  EVD_DEATH    /* dead: doesn't respond to any caller */
 };
 
 struct evd_evidence
 {
   enum evd_state state;
-  bool dead;        /* since the last proof of either */
-  uint32_t strikes; /* failures in a row that ended a good time */
-  int64_t rest_until_us;
-  double failure_rate; /* moving average, 0 to 1 */
-  double latency_us;   /* moving average of successes; 0: none */
-  uint32_t in_flight;
+  bool dead;        /* as of the last result that shows dead or alive */
+  uint32_t strikes; /* consecutive backoffs; 0 again at a low failure rate */
+  int64_t rest_until_us; /* monotonic end of the backoff */
+  double failure_rate;   /* moving average, 0 to 1 */
+  double latency_us;     /* of successes, moving average; 0: none */
+  uint32_t in_flight;    /* requests without a result yet */
 };
 
 bool evd_usable (struct evd_evidence *evidence, int64_t now_us);
--- a/test/attempt_test.c
+++ b/test/attempt_test.c
@@ -47,7 +47,7 @@
     ATT_TIMED_OUT,
     { .next = ATT_ANSWER, .status = 504 } },
   { "a booking that is refused everywhere was not run",
-    { BOOKING, .sent = ATT_ARRIVALS_MAX, .left_us = LEFT_US },
+    { BOOKING, .sent = ATT_SENT_MAX, .left_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_ANSWER, .status = 503 } },
   { "a lookup that was cut off is repeated once",
