--- a/src/core/flow.c
+++ b/src/core/flow.c
@@ -2,14 +2,15 @@
 
 #include <glib.h>
 
-/* Flow below this fraction of the largest capacity counts as none. */
-#define RELATIVE_ZERO 1e-9
+/* Flows below this fraction of the largest capacity are treated as 0. */
+#define RELATIVE_EPSILON 1e-9
 
-/* Each edge is followed by its reverse, so the reverse of edge I is I ^ 1. */
+/* Each edge is stored next to its reverse, so that the reverse of edge I is
+   I ^ 1. */
 struct edge
 {
   uint32_t to;
-  uint32_t next; /* of the same node */
+  uint32_t next; /* next edge out of the same node; NONE: last */
   double capacity;
   double flow;
 };
@@ -18,29 +19,30 @@
 {
   GArray *edges;
   uint32_t nodes;
-  uint32_t *first;   /* by node: newest edge */
-  uint32_t *current; /* by node: the next edge to try */
-  uint32_t *level;   /* by node: edges from the source; NONE: not reached */
-  uint32_t *queue;
-  double zero;
+  uint32_t *first_edge;  /* by node: its newest edge; NONE: none */
+  uint32_t *next_to_try; /* by node: next edge to try; NONE: all tried */
+  uint32_t *level; /* by node: distance from the source; NONE: unreachable */
+  uint32_t *queue; /* of nodes, for the breadth-first search */
+  double epsilon;  /* flows up to this are treated as 0 */
 };
 
+/* Index of no edge, level of an unreachable node. */
 #define NONE UINT32_MAX
 
-/* Creates a network of NODES nodes without edges.  */
+/* Creates a network of NODES nodes, numbered from 0, without edges.  */
 struct fl_network *
 fl_create (uint32_t nodes)
 {
   struct fl_network *network = g_new0 (struct fl_network, 1);
   network->edges = g_array_new (FALSE, FALSE, sizeof (struct edge));
   network->nodes = nodes;
-  network->first = g_new (uint32_t, nodes);
-  network->current = g_new (uint32_t, nodes);
+  network->first_edge = g_new (uint32_t, nodes);
+  network->next_to_try = g_new (uint32_t, nodes);
   network->level = g_new (uint32_t, nodes);
   network->queue = g_new (uint32_t, nodes);
   for (uint32_t i = 0; i < nodes; i++)
     {
-      network->first[i] = NONE;
+      network->first_edge[i] = NONE;
       network->level[i] = NONE;
     }
   return network;
@@ -55,8 +57,8 @@
       return;
     }
   g_array_free (network->edges, TRUE);
-  g_free (network->first);
-  g_free (network->current);
+  g_free (network->first_edge);
+  g_free (network->next_to_try);
   g_free (network->level);
   g_free (network->queue);
   g_free (network);
@@ -74,14 +76,14 @@
 {
   struct edge edge = {
     .to = to,
-    .next = network->first[from],
+    .next = network->first_edge[from],
     .capacity = capacity,
   };
-  network->first[from] = network->edges->len;
+  network->first_edge[from] = network->edges->len;
   g_array_append_val (network->edges, edge);
 }
 
-/* Adds an edge and returns its index.  */
+/* Adds an edge from node FROM to node TO and returns its index.  */
 uint32_t
 fl_add_edge (struct fl_network *network, uint32_t from, uint32_t to,
              double capacity)
@@ -92,21 +94,23 @@
   return index;
 }
 
-/* Changes the capacity of EDGE; the next fl_maximum starts from no flow.  */
+/* Changes the capacity of EDGE.  The flows change with the next fl_maximum,
+   which starts from scratch.  */
 void
 fl_set_capacity (struct fl_network *network, uint32_t edge, double capacity)
 {
   edge_at (network, edge)->capacity = capacity;
 }
 
-/* Sets the levels by breadth first search; returns whether SINK has one.  */
+/* Sets the level of each node by breadth-first search over the edges with
+   residual capacity.  Returns whether SINK is reachable.  */
 static bool
 find_levels (struct fl_network *network, uint32_t source, uint32_t sink)
 {
   for (uint32_t i = 0; i < network->nodes; i++)
     {
       network->level[i] = NONE;
-      network->current[i] = network->first[i];
+      network->next_to_try[i] = network->first_edge[i];
     }
   uint32_t tail = 0;
   network->level[source] = 0;
@@ -114,12 +118,12 @@
   for (uint32_t head = 0; head < tail; head++)
     {
       uint32_t node = network->queue[head];
-      for (uint32_t i = network->first[node]; i != NONE;
+      for (uint32_t i = network->first_edge[node]; i != NONE;
            i = edge_at (network, i)->next)
         {
           const struct edge *edge = edge_at (network, i);
           if (network->level[edge->to] == NONE
-              && edge->capacity - edge->flow > network->zero)
+              && edge->capacity - edge->flow > network->epsilon)
             {
               network->level[edge->to] = network->level[node] + 1;
               network->queue[tail++] = edge->to;
@@ -129,34 +133,36 @@
   return network->level[sink] != NONE;
 }
 
-/* Pushes up to LIMIT from NODE to SINK along rising levels; returns how much
-   got through.  The recursion is as deep as there are levels.  */
+/* Pushes up to LIMIT from NODE to SINK along edges to the next level, and
+   returns the amount that reached SINK.  The recursion depth is at most the
+   number of levels.  */
 static double
-push (struct fl_network *network, uint32_t node, uint32_t sink, double limit)
+push_flow (struct fl_network *network, uint32_t node, uint32_t sink,
+           double limit)
 {
   if (node == sink)
     {
       return limit;
     }
   double pushed = 0.0;
-  while (network->current[node] != NONE)
+  while (network->next_to_try[node] != NONE)
     {
-      uint32_t index = network->current[node];
+      uint32_t index = network->next_to_try[node];
       struct edge *edge = edge_at (network, index);
-      double room = MIN (edge->capacity - edge->flow, limit - pushed);
-      if (room > network->zero
+      double pushable = MIN (edge->capacity - edge->flow, limit - pushed);
+      if (pushable > network->epsilon
           && network->level[edge->to] == network->level[node] + 1)
         {
-          double through = push (network, edge->to, sink, room);
-          edge->flow += through;
-          edge_at (network, index ^ 1)->flow -= through;
-          pushed += through;
+          double accepted = push_flow (network, edge->to, sink, pushable);
+          edge->flow += accepted;
+          edge_at (network, index ^ 1)->flow -= accepted;
+          pushed += accepted;
         }
-      if (limit - pushed <= network->zero)
+      if (limit - pushed <= network->epsilon)
         {
           return pushed;
         }
-      network->current[node] = edge->next;
+      network->next_to_try[node] = edge->next;
     }
   return pushed;
 }
@@ -172,12 +178,12 @@
       edge->flow = 0.0;
       largest = MAX (largest, edge->capacity);
     }
-  network->zero = largest * RELATIVE_ZERO;
+  network->epsilon = largest * RELATIVE_EPSILON;
   double total = 0.0;
   while (find_levels (network, source, sink))
     {
-      double pushed = push (network, source, sink, G_MAXDOUBLE);
-      if (pushed <= network->zero)
+      double pushed = push_flow (network, source, sink, G_MAXDOUBLE);
+      if (pushed <= network->epsilon)
         {
           break;
         }
@@ -186,24 +192,25 @@
   return total;
 }
 
-/* Returns the flow over EDGE after fl_maximum.  */
+/* Returns the flow over EDGE as of the last fl_maximum.  */
 double
 fl_flow (const struct fl_network *network, uint32_t edge)
 {
   return edge_at (network, edge)->flow;
 }
 
-/* Returns whether more could reach NODE after fl_maximum: the source's side of
-   the minimum cut.  */
+/* Returns whether NODE is on the source's side of the minimum cut found by the
+   last fl_maximum, that is, whether more flow could reach NODE.  */
 bool
 fl_reached (const struct fl_network *network, uint32_t node)
 {
   return network->level[node] != NONE;
 }
 
-/* Returns the largest rate of tokens through layers 0 up to LAYERS when each
-   range may run at its own rate: the nodes are the boundaries between layers
-   and each range is an edge.  A range outside the model is ignored.  */
+/* Returns the largest rate, in tokens per second, that RANGES sustain through
+   all LAYERS layers of a model.  It is the maximum flow in a network whose
+   nodes are the layer boundaries and whose edges are the ranges.  A range that
+   is empty or ends outside the model is ignored.  */
 double
 fl_layers_tokens_per_s (uint32_t layers, const struct fl_range *ranges,
                         uint32_t range_count)
--- a/src/core/flow.h
+++ b/src/core/flow.h
@@ -1,4 +1,5 @@
-/* Maximum flow, by blocking flows on levels (Dinic). */
+/* Maximum flow in a network (Dinic's algorithm), and the token rate of a set
+   of layer ranges computed with it. */
 #ifndef CORE_FLOW_H
 #define CORE_FLOW_H
 
@@ -7,7 +8,8 @@
 
 struct fl_network;
 
-/* Layers FIRST up to END, run at up to `tokens_per_s'. */
+/* A copy of layers `first' up to, not including, `end' that runs at most
+   `tokens_per_s'. */
 struct fl_range
 {
   uint32_t first;
--- a/src/core/load.c
+++ b/src/core/load.c
@@ -2,21 +2,25 @@
 
 #include "base/clock.h"
 
-/* Weights of the moving averages, as in TCP's retransmission timer
-   (RFC 6298). */
+/* Weights of the moving averages, as binary logarithms of the divisors: 1/8
+   and 1/4 as in TCP's retransmission timer (RFC 6298). */
 #define AVERAGE_SHIFT 3
 #define DEVIATION_SHIFT 2
-#define DEVIATIONS_OF_SILENCE 6
+/* Mean deviations above the average step time in the silence bound. */
+#define SILENCE_DEVIATIONS 6
 
-#define SILENCE_FLOOR_US (250 * CLK_MS_US)
-#define SILENCE_CEILING_US (1000 * CLK_MS_US)
+/* Range of the silence bound, see ld_silence_bound_us. */
+#define SILENCE_BOUND_MIN_US (250 * CLK_MS_US)
+#define SILENCE_BOUND_MAX_US (1000 * CLK_MS_US)
 
+/* The backoff after a failure starts here and doubles with each failure. */
 #define BACKOFF_FIRST_US (250 * CLK_MS_US)
 #define BACKOFF_MAX_US (8 * CLK_S_US)
 #define BACKOFF_DOUBLINGS_MAX 5
 
-/* Steps in a row that a failed endpoint answers before its share is back. */
-#define PROOF_STEPS 8
+/* Consecutive steps that an endpoint must answer after a failure to
+   recover. */
+#define RECOVERY_STEPS 8
 
 static int64_t
 clamp (int64_t value, int64_t low, int64_t high)
@@ -28,28 +32,31 @@
   return value > high ? high : value;
 }
 
-/* Counts a stream of this daemon that has been routed over LOAD.  */
+/* Counts a stream of this daemon that is routed over the endpoint.  */
 void
 ld_stream_added (struct ld_load *load)
 {
   atomic_fetch_add_explicit (&load->streams, 1, memory_order_relaxed);
 }
 
-/* Undoes ld_stream_added when the stream ends or moves away.  */
+/* Reverses ld_stream_added when the stream ends or moves to another
+   endpoint.  */
 void
 ld_stream_removed (struct ld_load *load)
 {
   atomic_fetch_sub_explicit (&load->streams, 1, memory_order_relaxed);
 }
 
-/* Counts a step that is sent.  Each is followed by one call of ld_step_done,
-   ld_step_abandoned or ld_step_failed.  */
+/* Counts a step that is sent.  Each call must be followed by one call of
+   ld_step_done, ld_step_abandoned or ld_step_failed.  */
 void
 ld_step_sent (struct ld_load *load)
 {
   atomic_fetch_add_explicit (&load->steps_in_flight, 1, memory_order_relaxed);
 }
 
+/* Counts an answered step.  After a failure, clears the failures once
+   RECOVERY_STEPS consecutive steps have been answered.  */
 static void
 step_answered (struct ld_load *load)
 {
@@ -58,18 +65,19 @@
     {
       return;
     }
-  if (atomic_fetch_add (&load->proof_steps, 1) + 1 >= PROOF_STEPS)
+  if (atomic_fetch_add (&load->recovery_steps, 1) + 1 >= RECOVERY_STEPS)
     {
       load->failures = 0;
-      load->proof_steps = 0;
+      load->recovery_steps = 0;
       load->failed_at_us = 0;
     }
 }
 
-/* Takes in the answer to a step of one position, STEP_US after it was sent:
+/* Records the answer to a step of one position, STEP_US after it was sent, and
    updates the moving average and mean deviation.  A STEP_US of 0 stands for a
-   step of several positions, whose time says nothing of later steps.  Two
-   threads that update at once may lose one observation, never more.  */
+   step of several positions, whose duration doesn't predict that of later
+   steps.  Concurrent updates by two threads may lose one of the two
+   observations.  */
 void
 ld_step_done (struct ld_load *load, int64_t step_us, int64_t now_us)
 {
@@ -87,23 +95,25 @@
       return;
     }
   int64_t error_us = step_us - average_us;
-  int64_t size_us = error_us < 0 ? -error_us : error_us;
+  int64_t magnitude_us = error_us < 0 ? -error_us : error_us;
   int64_t deviation_us = load->step_deviation_us;
   /* Division, not a shift: it rounds towards zero for either sign. */
   average_us += error_us / (1 << AVERAGE_SHIFT);
-  deviation_us += (size_us - deviation_us) / (1 << DEVIATION_SHIFT);
+  deviation_us += (magnitude_us - deviation_us) / (1 << DEVIATION_SHIFT);
   load->step_us = average_us > 0 ? average_us : 1;
   load->step_deviation_us = deviation_us;
   load->step_at_us = now_us;
 }
 
-/* A step whose answer no longer matters, as its caller is gone.  */
+/* Counts the end of a step whose answer is no longer needed, as its caller has
+   disconnected.  */
 void
 ld_step_abandoned (struct ld_load *load)
 {
   atomic_fetch_sub_explicit (&load->steps_in_flight, 1, memory_order_relaxed);
 }
 
+/* Returns the backoff after FAILURES consecutive failures, 1 or more.  */
 static int64_t
 backoff_us (uint32_t failures)
 {
@@ -116,15 +126,15 @@
                 BACKOFF_MAX_US);
 }
 
-/* Takes in a step that failed or stayed silent beyond the bound.  All failures
-   within one backoff count as one, so that many streams on one dead host do
-   not make it look worse than one stream does.  */
+/* Records a step that failed or wasn't answered within the silence bound.  All
+   failures within one backoff count as one, so that the backoff doesn't depend
+   on the number of streams over a dead host.  */
 void
 ld_step_failed (struct ld_load *load, int64_t now_us)
 {
   atomic_fetch_sub_explicit (&load->steps_in_flight, 1, memory_order_relaxed);
   uint32_t failures = load->failures;
-  load->proof_steps = 0;
+  load->recovery_steps = 0;
   if (failures > 0 && now_us < load->failed_at_us + backoff_us (failures))
     {
       return;
@@ -133,8 +143,9 @@
   load->failures = failures + 1;
 }
 
-/* Takes in the endpoint's own load report.  The report is the only thing that
-   ends a refusal.  */
+/* Records a load report of the endpoint: RUNNING and QUEUED steps, and whether
+   the endpoint is LEAVING and so refuses new streams.  Outside of tests,
+   only reports set and clear such a refusal.  */
 void
 ld_report (struct ld_load *load, int32_t running, int32_t queued, bool leaving,
            int64_t now_us)
@@ -145,15 +156,14 @@
   load->refusing = leaving;
 }
 
-/* Notes that the endpoint refuses new streams as it is leaving, or that it
-   does so no longer.  */
+/* Sets whether the endpoint refuses new streams because it is leaving.  */
 void
 ld_set_refusing (struct ld_load *load, bool refusing)
 {
   load->refusing = refusing;
 }
 
-/* Returns how much new work the endpoint may be given at NOW_US.  */
+/* Returns whether the endpoint may be given new streams at NOW_US.  */
 enum ld_standing
 ld_standing (const struct ld_load *load, int64_t now_us)
 {
@@ -174,25 +184,25 @@
                                                              : LD_TRIAL;
 }
 
-/* Returns how long a step of one position may stay unanswered before the
-   endpoint counts as silent.  A step of several positions is given this on top
-   of its expected time.  Without observations it is the ceiling.  */
+/* Returns the silence bound, the response timeout of a step of one position,
+   in microseconds.  The timeout of a step of several positions is this bound
+   plus the step's expected duration.  Without observations it is
+   SILENCE_BOUND_MAX_US.  */
 int64_t
 ld_silence_bound_us (const struct ld_load *load)
 {
   int64_t average_us = load->step_us;
   if (average_us == 0)
     {
-      return SILENCE_CEILING_US;
+      return SILENCE_BOUND_MAX_US;
     }
-  int64_t bound_us
-      = average_us + DEVIATIONS_OF_SILENCE * load->step_deviation_us;
-  return clamp (bound_us, SILENCE_FLOOR_US, SILENCE_CEILING_US);
+  int64_t bound_us = average_us + SILENCE_DEVIATIONS * load->step_deviation_us;
+  return clamp (bound_us, SILENCE_BOUND_MIN_US, SILENCE_BOUND_MAX_US);
 }
 
-/* Sets whether the endpoint answers at all.  One that does not gets no stream
-   until it has answered a load report: a stream that tried it would wait for
-   the silence bound.  */
+/* Sets whether the endpoint answers at all.  An unreachable endpoint gets no
+   streams until it has answered a request for a load report, since a stream
+   routed over it would be delayed by the silence bound.  */
 void
 ld_set_reachable (struct ld_load *load, bool reachable)
 {
--- a/src/core/load.h
+++ b/src/core/load.h
@@ -1,6 +1,7 @@
-/* What one daemon knows of an endpoint's load and health.  Atomic counters,
-   shared by the traffic threads and the control thread; they outlive routing
-   snapshots. */
+/* Load and health of one endpoint as known to one daemon.  The fields are
+   atomic, since the traffic threads and the control thread share them, and
+   outlive routing snapshots.  A step is one request to the endpoint within a
+   stream. */
 #ifndef CORE_LOAD_H
 #define CORE_LOAD_H
 
@@ -10,28 +11,28 @@
 
 struct ld_load
 {
-  _Atomic int32_t steps_in_flight; /* of this daemon, sent and unanswered */
-  _Atomic int32_t streams;         /* of this daemon, routed over it */
-  _Atomic int32_t reported_running;
-  _Atomic int32_t reported_queued;
-  _Atomic int64_t reported_at_us;    /* monotonic; 0: never */
-  _Atomic int64_t step_us;           /* moving average of observed steps */
-  _Atomic int64_t step_deviation_us; /* moving mean deviation */
-  _Atomic int64_t failed_at_us;      /* monotonic; 0: no failure since proof */
-  _Atomic uint32_t failures;         /* in a row */
-  _Atomic bool unreachable;          /* silent or refused a connection, and
-                                        has answered nothing since */
-  _Atomic bool refusing;             /* the endpoint's own refusal: leaving */
-  _Atomic int64_t step_at_us;        /* monotonic, of the last observed step */
-  _Atomic uint32_t proof_steps;      /* steps answered since the failure */
+  _Atomic int32_t steps_in_flight; /* sent by this daemon, not answered */
+  _Atomic int32_t streams; /* of this daemon, routed over the endpoint */
+  _Atomic int32_t reported_running; /* steps, by the endpoint's last report */
+  _Atomic int32_t reported_queued;  /* steps, by the endpoint's last report */
+  _Atomic int64_t reported_at_us;   /* monotonic; 0: never */
+  _Atomic int64_t step_us; /* duration, moving average; 0: none observed */
+  _Atomic int64_t step_deviation_us; /* moving mean absolute deviation */
+  _Atomic int64_t failed_at_us; /* monotonic; 0: no failure since recovery */
+  _Atomic uint32_t failures;    /* backoffs since the last recovery */
+  _Atomic bool unreachable;     /* timed out or refused a connection, and
+                                   hasn't answered anything since */
+  _Atomic bool refusing;        /* refuses new streams, as it is leaving */
+  _Atomic int64_t step_at_us;   /* monotonic; end of the last observed step */
+  _Atomic uint32_t recovery_steps; /* steps answered since the last failure */
 };
 
 /* How much new work an endpoint may be given. */
 enum ld_standing
 {
   LD_OPEN,
-  LD_TRIAL, /* one stream at a time, until it has proved itself */
-  LD_CLOSED
+  LD_TRIAL, /* one stream at a time, until the endpoint has recovered */
+  LD_CLOSED /* no new streams */
 };
 
 void ld_stream_added (struct ld_load *load);
