--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -2,12 +2,13 @@
 
 #include <string.h>
 
-/* Share of the budget that is used: windows of others begin elsewhere, and
-   daemons that start don't know what was spent before. */
-#define SAFE_SHARE 0.8
+/* Fraction of the budget that is used.  The margin covers windows that aren't
+   aligned between daemons, and repeats before a restart, which a daemon
+   doesn't know of. */
+#define USABLE_FRACTION 0.8
 
-/* Prepares BUDGET, with a small share of the slack until the number of daemons
-   is known.  */
+/* Initializes BUDGET, without slack until the first rbg_set_share.  PARAMS is
+   copied.  */
 void
 rbg_start (struct rbg_budget *budget, const struct rbg_params *params)
 {
@@ -15,19 +16,19 @@
   budget->params = *params;
 }
 
-/* Takes SHARE for what this daemon had in the whole window.  */
+/* Sets the lowest share of all slots of the window to SHARE.  */
 static void
-fill_shares (struct rbg_budget *budget, double share)
+set_all_shares (struct rbg_budget *budget, double share)
 {
   for (uint32_t i = 0; i < RBG_SLOTS; i++)
     {
-      budget->least_shares[i] = share;
+      budget->min_shares[i] = share;
     }
 }
 
-/* Empties the slots that have passed since the last call.  */
+/* Moves the window to NOW_US and clears its new slots.  */
 static void
-advance (struct rbg_budget *budget, int64_t now_us)
+advance_window (struct rbg_budget *budget, int64_t now_us)
 {
   int64_t slot = now_us / (budget->params.window_us / RBG_SLOTS);
   if (slot - budget->slot >= RBG_SLOTS)
@@ -35,48 +36,48 @@
       memset (budget->requests, 0, sizeof budget->requests);
       memset (budget->repeats, 0, sizeof budget->repeats);
       budget->slot = slot;
-      fill_shares (budget, budget->slack_share);
+      set_all_shares (budget, budget->slack_share);
     }
   while (budget->slot < slot)
     {
       budget->slot++;
       budget->requests[budget->slot % RBG_SLOTS] = 0;
       budget->repeats[budget->slot % RBG_SLOTS] = 0;
-      budget->least_shares[budget->slot % RBG_SLOTS] = budget->slack_share;
+      budget->min_shares[budget->slot % RBG_SLOTS] = budget->slack_share;
     }
 }
 
-/* Sets the share of the slack that this daemon may use; the shares of all
-   daemons add up to 1 at most.  What it gains another one may have spent, so
-   that it counts once the window has passed; the first share counts at once.
- */
+/* Sets the fraction of the slack that this daemon may use; the fractions of
+   all daemons must add up to 1 at most.  A reduction takes effect at once, an
+   increase only after a whole window, since another daemon may already have
+   spent that part of the slack.  The first share takes effect at once.  */
 void
 rbg_set_share (struct rbg_budget *budget, double share, int64_t now_us)
 {
-  advance (budget, now_us);
-  if (!budget->knows_share)
+  advance_window (budget, now_us);
+  if (!budget->share_known)
     {
-      budget->knows_share = true;
-      fill_shares (budget, share);
+      budget->share_known = true;
+      set_all_shares (budget, share);
     }
-  double *least = &budget->least_shares[budget->slot % RBG_SLOTS];
+  double *min_share = &budget->min_shares[budget->slot % RBG_SLOTS];
   budget->slack_share = share;
-  *least = *least < share ? *least : share;
+  *min_share = *min_share < share ? *min_share : share;
 }
 
-/* Counts a request of a caller.  */
+/* Counts a request of a caller, which isn't a repeat.  */
 void
 rbg_request (struct rbg_budget *budget, int64_t now_us)
 {
-  advance (budget, now_us);
+  advance_window (budget, now_us);
   budget->requests[budget->slot % RBG_SLOTS]++;
 }
 
-/* Returns true when BUDGET has room for COUNT more repeats.  */
+/* Returns whether BUDGET allows COUNT more repeats.  */
 bool
 rbg_allows (struct rbg_budget *budget, uint32_t count, int64_t now_us)
 {
-  advance (budget, now_us);
+  advance_window (budget, now_us);
   uint32_t requests = 0;
   uint32_t repeats = 0;
   double share = budget->slack_share;
@@ -84,17 +85,17 @@
     {
       requests += budget->requests[i];
       repeats += budget->repeats[i];
-      share
-          = budget->least_shares[i] < share ? budget->least_shares[i] : share;
+      share = budget->min_shares[i] < share ? budget->min_shares[i] : share;
     }
   double slack = now_us < budget->params.slack_from_us
                      ? 0
                      : budget->params.slack * share;
   double allowed = budget->params.ratio * requests + slack;
-  return repeats + count <= allowed * SAFE_SHARE;
+  return repeats + count <= allowed * USABLE_FRACTION;
 }
 
-/* Takes one repeat out of BUDGET.  Returns false when it is spent.  */
+/* Takes one repeat from BUDGET.  Returns false when the budget is
+   exhausted.  */
 bool
 rbg_take (struct rbg_budget *budget, int64_t now_us)
 {
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -1,31 +1,33 @@
-/* Budget of repeats toward one service: a share of the requests for it and a
-   slack that all daemons divide.  Answers the loads of mass failures and retry
-   storms, in which unbounded repeats would multiply the load. */
+/* Retry budget for one service over a sliding window: a ratio of the requests
+   for the service plus a fixed slack that all daemons share.  It prevents
+   retry storms during mass failures, in which unlimited repeats would multiply
+   the load. */
 #ifndef CORE_RETRY_BUDGET_H
 #define CORE_RETRY_BUDGET_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-#define RBG_SLOTS 20 /* parts of the window */
+#define RBG_SLOTS 20 /* slots of the sliding window */
 
 struct rbg_params
 {
-  double ratio; /* repeats for each request */
-  double slack; /* repeats in a window beside these, of all daemons */
+  double ratio; /* repeats per request */
+  double slack; /* additional repeats per window, for all daemons */
   int64_t window_us;
-  int64_t slack_from_us; /* no slack before: it isn't known what was spent */
+  int64_t slack_from_us; /* monotonic; no slack before, as a previous process
+                            may have spent it */
 };
 
 struct rbg_budget
 {
   struct rbg_params params;
-  double slack_share; /* of this daemon, 0 to 1 */
-  bool knows_share;
-  double least_shares[RBG_SLOTS]; /* in each part of the window */
+  double slack_share; /* this daemon's fraction of the slack, 0 to 1 */
+  bool share_known;   /* `slack_share' has been set */
+  double min_shares[RBG_SLOTS]; /* lowest `slack_share' in each slot */
   uint32_t requests[RBG_SLOTS];
   uint32_t repeats[RBG_SLOTS];
-  int64_t slot; /* number of the newest slot since the clock's start */
+  int64_t slot; /* newest slot, counted from the start of the clock */
 };
 
 void rbg_start (struct rbg_budget *budget, const struct rbg_params *params);
