--- a/src/core/account_limit.c
+++ b/src/core/account_limit.c
@@ -58,7 +58,7 @@
 }
 
 /* Creates an account with full buckets and an even share of LIMITS.  FLOW is
-   its index in the fair queue.  The caller frees it with g_free.  */
+   its index in the fair queue.  Free the account with g_free.  */
 struct acc_account *
 acc_create (const struct cfg_account *limits, uint32_t flow, uint32_t daemons,
             int64_t now_us)
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -1,7 +1,7 @@
 /* Admission control for requests: enforces the account limits and the limit on
    concurrent streams, queues excess requests in a weighted fair queue, and
-   keeps the retry and hedge budgets.  It isn't thread-safe: the caller must
-   hold one lock around every call. */
+   keeps the retry and hedge budgets.  It isn't thread-safe: one lock must be
+   held around every call. */
 #ifndef CORE_ADMISSION_H
 #define CORE_ADMISSION_H
 
--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -44,8 +44,8 @@
 }
 
 /* Sets VERDICT to the next action for REQUEST after an attempt that ended with
-   END.  If the verdict has `needs_budget' set, the caller must take a repeat
-   from the retry budget; if the budget is exhausted, att_decide_unpaid gives
+   END.  If the verdict has `needs_budget' set, a repeat must be taken from
+   the retry budget; if the budget is exhausted, att_decide_unpaid gives
    the action instead.  */
 void
 att_decide (const struct att_request *request, enum att_end end,
--- a/src/core/fair.h
+++ b/src/core/fair.h
@@ -16,7 +16,7 @@
 struct fq_item
 {
   uint64_t id;             /* unique within the queue */
-  uint32_t flow;           /* index chosen by the caller */
+  uint32_t flow;           /* index of the flow, any number */
   uint32_t priority;       /* 0 is the highest; limited to FQ_PRIORITIES - 1 */
   double cost;             /* expected work, in any unit, above 0 */
   int64_t latest_start_us; /* the item expires after this time */
--- a/src/core/request.c
+++ b/src/core/request.c
@@ -3,33 +3,36 @@
 #include <glib.h>
 #include <string.h>
 
-#define WAIT_FIRST_US INT64_C (20000)
+/* First and longest delay between two searches for capacity. */
+#define WAIT_MIN_US INT64_C (20000)
 #define WAIT_MAX_US INT64_C (320000)
-/* How long a stream that has delivered tokens waits for capacity. */
-#define CAPACITY_PATIENCE_US INT64_C (5000000)
+/* Time for which a stream that has delivered tokens waits for capacity. */
+#define CAPACITY_WAIT_MAX_US INT64_C (5000000)
 
-/* How often a step is asked again of an endpoint that is slow. */
-#define SILENCES_MAX 8
+/* Limit on the repeats of a step at an endpoint that is alive but doesn't
+   answer in time. */
+#define TIMEOUT_REPEATS_MAX 8
 
 struct req_machine
 {
   struct req_params params;
-  struct req_stage chain[RT_CHAIN_MAX];
-  uint32_t chain_length;
-  GArray *tokens;   /* uint32_t, delivered to the caller */
-  uint32_t attempt; /* of the chain in use, from 1 */
-  uint32_t step;    /* the step in flight */
-  uint32_t stage;   /* the stage that runs it */
-  uint32_t repeats; /* of the step in flight, on new connections */
+  struct req_stage chain[RT_CHAIN_MAX]; /* the current chain */
+  uint32_t chain_length;                /* 0: no current chain */
+  GArray *tokens;                       /* uint32_t, delivered to the caller */
+  uint32_t attempt; /* number of the current chain, from 1 */
+  uint32_t step;    /* the step in flight, from 0 in each attempt */
+  uint32_t stage;   /* the stage that runs the step in flight */
+  uint32_t repeats; /* of the step in flight, each on a new connection */
   bool finished;
-  GString *activation;      /* input of the stage in flight */
-  int64_t waiting_since_us; /* 0: not waiting for capacity */
-  int64_t wait_us;
-  struct ld_load *excluded[RT_EXCLUDED_MAX];
-  uint32_t excluded_count;
+  GString *activation;                       /* input of the stage in flight */
+  int64_t waiting_since_us;                  /* 0: not waiting for capacity */
+  int64_t wait_us;                           /* next delay */
+  struct ld_load *excluded[RT_EXCLUDED_MAX]; /* ring buffer of endpoints not to
+                                                use again */
+  uint32_t excluded_count; /* exclusions so far, may exceed the ring's size */
 };
 
-/* Creates the machine of one request.  PARAMS is copied.  */
+/* Creates the state machine of one request.  PARAMS is copied.  */
 struct req_machine *
 req_create (const struct req_params *params)
 {
@@ -53,21 +56,22 @@
   g_free (machine);
 }
 
-/* Returns stage STAGE of the chain in use.  */
+/* Returns stage STAGE of the current chain.  */
 const struct req_stage *
 req_stage (const struct req_machine *machine, uint32_t stage)
 {
   return &machine->chain[stage];
 }
 
-/* Returns the number of stages of the chain in use.  */
+/* Returns the number of stages of the current chain.  */
 uint32_t
 req_stage_count (const struct req_machine *machine)
 {
   return machine->chain_length;
 }
 
-/* Returns the tokens delivered so far and sets COUNT.  */
+/* Returns the tokens delivered so far and sets COUNT to their number.  The
+   array is valid until the next req_feed.  */
 const uint32_t *
 req_tokens (const struct req_machine *machine, uint32_t *count)
 {
@@ -75,7 +79,8 @@
   return (const uint32_t *)(void *)machine->tokens->data;
 }
 
-/* Returns the input of the stage in flight; "" for the first stage.  */
+/* Returns the input activation of the stage in flight; "" for the first
+   stage.  */
 const char *
 req_activation (const struct req_machine *machine)
 {
@@ -83,15 +88,16 @@
 }
 
 static void
-set_finish (struct req_machine *machine, enum err_kind error,
-            struct req_action *action)
+finish (struct req_machine *machine, enum err_kind error,
+        struct req_action *action)
 {
   machine->finished = true;
   action->kind = REQ_ACTION_FINISH;
   action->error = error;
 }
 
-/* Has the engines of the chain drop the attempt in use.  */
+/* Adds to ACTION the cancellation of the current attempt at all engines of its
+   chain, and drops the chain.  */
 static void
 cancel_chain (struct req_machine *machine, struct req_action *action)
 {
@@ -116,22 +122,22 @@
 }
 
 static void
-exclude (struct req_machine *machine, struct ld_load *load)
+exclude_endpoint (struct req_machine *machine, struct ld_load *load)
 {
   uint32_t slot = machine->excluded_count % RT_EXCLUDED_MAX;
   machine->excluded[slot] = load;
   machine->excluded_count++;
 }
 
-/* Turns the excluded endpoints into indices of SNAP.  */
+/* Adds the excluded endpoints to QUERY, as indices in SNAP.  */
 static void
 fill_excluded (const struct req_machine *machine, const struct snap *snap,
                struct rt_query *query)
 {
-  uint32_t known = MIN (machine->excluded_count, RT_EXCLUDED_MAX);
+  uint32_t valid_count = MIN (machine->excluded_count, RT_EXCLUDED_MAX);
   for (uint32_t i = 0; i < snap->endpoint_count; i++)
     {
-      for (uint32_t j = 0; j < known; j++)
+      for (uint32_t j = 0; j < valid_count; j++)
         {
           if (snap->endpoints[i].load == machine->excluded[j]
               && query->excluded_count < RT_EXCLUDED_MAX)
@@ -143,9 +149,10 @@
     }
 }
 
+/* Makes CHAIN, chosen from SNAP, the current chain.  */
 static void
-adopt_chain (struct req_machine *machine, const struct snap *snap,
-             const struct rt_chain *chain)
+set_chain (struct req_machine *machine, const struct snap *snap,
+           const struct rt_chain *chain)
 {
   machine->chain_length = chain->length;
   for (uint32_t i = 0; i < chain->length; i++)
@@ -164,8 +171,9 @@
     }
 }
 
-/* Waits for capacity with an exponential delay, but only for a stream that
-   has delivered tokens; any other gets its answer at once.  */
+/* Waits for capacity with exponentially growing delays, but only if the stream
+   has delivered tokens.  Any other request fails at once with
+   ERR_NO_CAPACITY.  */
 static void
 wait_for_capacity (struct req_machine *machine, int64_t now_us,
                    struct req_action *action)
@@ -173,30 +181,31 @@
   if (machine->waiting_since_us == 0)
     {
       machine->waiting_since_us = now_us;
-      machine->wait_us = WAIT_FIRST_US;
+      machine->wait_us = WAIT_MIN_US;
     }
-  int64_t until_us = machine->waiting_since_us + CAPACITY_PATIENCE_US;
+  int64_t until_us = machine->waiting_since_us + CAPACITY_WAIT_MAX_US;
   if (machine->tokens->len == 0 || now_us >= until_us)
     {
-      set_finish (machine, ERR_NO_CAPACITY, action);
+      finish (machine, ERR_NO_CAPACITY, action);
       return;
     }
-  /* After a first pass, an excluded endpoint is better than none. */
+  /* The other endpoints have been tried: allow the excluded ones again. */
   machine->excluded_count = 0;
   action->kind = REQ_ACTION_WAIT;
   action->wait_us = machine->wait_us;
   machine->wait_us = MIN (machine->wait_us * 2, WAIT_MAX_US);
 }
 
-/* Begins the next attempt: chooses a chain and has its first stage run every
-   position known so far.  */
+/* Begins the next attempt: chooses a chain and sends its first stage a step
+   for all positions so far, those of the prompt and of the delivered
+   tokens.  */
 static void
 begin_attempt (struct req_machine *machine, const struct req_event *event,
                const struct snap *snap, struct req_action *action)
 {
   if (machine->attempt >= REQ_ATTEMPTS_MAX)
     {
-      set_finish (machine, ERR_ENDPOINT_FAILED, action);
+      finish (machine, ERR_ENDPOINT_FAILED, action);
       return;
     }
   struct rt_query query = {
@@ -223,15 +232,15 @@
   machine->attempt++;
   machine->step = 0;
   g_string_truncate (machine->activation, 0);
-  adopt_chain (machine, snap, &chain);
+  set_chain (machine, snap, &chain);
   send_step (machine, 0, false, action);
 }
 
-/* Returns true when EVENT answers the step in flight; an answer to an earlier
-   attempt or step is late and is dropped.  */
+/* Returns whether EVENT belongs to the step in flight.  Events of earlier
+   attempts or steps are outdated and must be ignored.  */
 static bool
-answers_step_in_flight (const struct req_machine *machine,
-                        const struct req_event *event)
+is_for_step_in_flight (const struct req_machine *machine,
+                       const struct req_event *event)
 {
   return event->attempt == machine->attempt && event->step == machine->step
          && event->stage == machine->stage && machine->chain_length > 0;
@@ -252,13 +261,13 @@
   if (event->end || machine->tokens->len >= machine->params.max_tokens)
     {
       cancel_chain (machine, action);
-      set_finish (machine, ERR_NONE, action);
+      finish (machine, ERR_NONE, action);
       return;
     }
   if (event->now_us >= machine->params.deadline_us)
     {
       cancel_chain (machine, action);
-      set_finish (machine, ERR_DEADLINE_EXCEEDED, action);
+      finish (machine, ERR_DEADLINE_EXCEEDED, action);
       return;
     }
   machine->step++;
@@ -266,9 +275,9 @@
   send_step (machine, 0, false, action);
 }
 
-/* Begins the next attempt when the budgets of retries allow it, so that a
-   fault never multiplies load.  A stream that has delivered tokens waits for
-   the budget; any other request gets its answer at once.  */
+/* Begins the next attempt if the retry budgets allow it; the budgets keep a
+   fault from multiplying the load.  Otherwise a stream that has delivered
+   tokens waits for the budgets, and any other request fails at once.  */
 static void
 retry (struct req_machine *machine, const struct req_event *event,
        const struct snap *snap, struct req_action *action)
@@ -281,11 +290,13 @@
   wait_for_capacity (machine, event->now_us, action);
 }
 
-/* Returns whether the step in flight is asked again of the same endpoint.  One
-   broken connection is not a dead host, and an endpoint that answers others is
-   slow: moving its streams would only add load.  */
+/* Returns whether the step in flight is sent again to the same endpoint.  A
+   single broken connection doesn't mean that the host is dead.  An endpoint
+   that answers on other connections is only slow, and moving its streams to
+   other engines would add load.  */
 static bool
-asks_again (const struct req_machine *machine, const struct req_event *event)
+should_repeat_step (const struct req_machine *machine,
+                    const struct req_event *event)
 {
   if (!event->endpoint_alive)
     {
@@ -293,13 +304,13 @@
     }
   if (event->error == ERR_ENDPOINT_SILENT)
     {
-      return machine->repeats < SILENCES_MAX;
+      return machine->repeats < TIMEOUT_REPEATS_MAX;
     }
   return event->error == ERR_ENDPOINT_FAILED && machine->repeats == 0;
 }
 
-/* Asks the step again on a new connection, or moves the stream to another
-   chain.  */
+/* Sends the failed step again on a new connection, or moves the stream to
+   another chain.  */
 static void
 step_failed (struct req_machine *machine, const struct req_event *event,
              const struct snap *snap, struct req_action *action)
@@ -307,22 +318,23 @@
   if (event->now_us >= machine->params.deadline_us)
     {
       cancel_chain (machine, action);
-      set_finish (machine, ERR_DEADLINE_EXCEEDED, action);
+      finish (machine, ERR_DEADLINE_EXCEEDED, action);
       return;
     }
-  if (asks_again (machine, event))
+  if (should_repeat_step (machine, event))
     {
       send_step (machine, machine->stage, true, action);
       return;
     }
-  exclude (machine, machine->chain[machine->stage].load);
+  exclude_endpoint (machine, machine->chain[machine->stage].load);
   cancel_chain (machine, action);
   retry (machine, event, snap, action);
 }
 
-/* Feeds EVENT and sets ACTION to what the shell does next.  SNAP is read only
-   during the call.  Finishes with ERR_NONE, ERR_NO_CAPACITY,
-   ERR_ENDPOINT_FAILED, ERR_DEADLINE_EXCEEDED or ERR_CALLER_GONE.  */
+/* Processes EVENT and sets ACTION to what must be done next.  SNAP is
+   only used during the call.  The error of REQ_ACTION_FINISH is ERR_NONE,
+   ERR_NO_CAPACITY, ERR_ENDPOINT_FAILED (after REQ_ATTEMPTS_MAX attempts),
+   ERR_DEADLINE_EXCEEDED or ERR_CALLER_GONE.  */
 void
 req_feed (struct req_machine *machine, const struct req_event *event,
           const struct snap *snap, struct req_action *action)
@@ -340,23 +352,23 @@
     case REQ_EVENT_WAITED:
       if (event->now_us >= machine->params.deadline_us)
         {
-          set_finish (machine, ERR_DEADLINE_EXCEEDED, action);
+          finish (machine, ERR_DEADLINE_EXCEEDED, action);
           return;
         }
       retry (machine, event, snap, action);
       return;
     case REQ_EVENT_CALLER_GONE:
       cancel_chain (machine, action);
-      set_finish (machine, ERR_CALLER_GONE, action);
+      finish (machine, ERR_CALLER_GONE, action);
       return;
     case REQ_EVENT_STEP_DONE:
-      if (answers_step_in_flight (machine, event))
+      if (is_for_step_in_flight (machine, event))
         {
           step_done (machine, event, action);
         }
       return;
     case REQ_EVENT_STEP_FAILED:
-      if (answers_step_in_flight (machine, event))
+      if (is_for_step_in_flight (machine, event))
         {
           step_failed (machine, event, snap, action);
         }
