--- a/src/core/routing.c
+++ b/src/core/routing.c
@@ -4,41 +4,45 @@
 
 #include <glib.h>
 
-/* Tokens over which the cost of the first step is spread. */
-#define TOKENS_EXPECTED 64
-/* Positions of a first step that cost as much as one later step. */
+/* Tokens over which the cost of the first step is amortized. */
+#define EXPECTED_TOKENS 64
+/* Number of positions in a first step that cost as much as one later step. */
 #define PREFILL_POSITIONS_PER_STEP 32
-/* A lagging report loses half its weight in this time. */
+/* Half-life of the weight of a load report, and the age at which a report is
+   ignored. */
 #define REPORT_HALF_LIFE_US (1 * CLK_S_US)
-#define REPORT_AGE_MAX_US (8 * CLK_S_US)
-/* An observed step time older than this is tested again by a probe. */
-#define OBSERVATION_FRESH_US (2 * CLK_S_US)
-/* One in so many requests may probe an endpoint that was last seen slow. */
+#define REPORT_MAX_AGE_US (8 * CLK_S_US)
+/* Age beyond which an observed step time may be refreshed by a probe. */
+#define OBSERVATION_MAX_AGE_US (2 * CLK_S_US)
+/* One in this many requests may probe an endpoint whose observed step time is
+   stale. */
 #define PROBE_ONE_IN 16
-/* Other daemons are taken to have as many streams on an endpoint as this one,
-   up to this many daemons; beyond, one stream says little of the others'. */
-#define DAEMONS_ALIKE_MAX 8
-/* Costs differ by up to this fraction at random, so that daemons that decide
-   at the same moment do not all choose the same endpoint. */
-#define SPREAD 0.3
+/* Other daemons are assumed to have as many streams on an endpoint as this
+   daemon, for up to this many daemons in all.  With more daemons, a single
+   stream says little about the load from the others. */
+#define ASSUMED_DAEMONS_MAX 8
+/* Random variation of the costs, as a fraction, so that daemons that choose at
+   the same moment don't all choose the same endpoint. */
+#define COST_JITTER 0.3
 
+/* A layer range on an endpoint that may become a stage. */
 struct candidate
 {
   uint32_t endpoint;
   uint32_t first;
   uint32_t end;
-  double cost_us;
+  double cost_us; /* per token */
 };
 
-/* Cheapest way to a layer boundary in a given number of stages. */
-struct reach
+/* Cheapest path to a layer boundary with a given number of stages. */
+struct best_path
 {
   bool known;
   double cost_us;
-  uint32_t candidate; /* the last stage */
+  uint32_t candidate; /* index of the last stage's candidate */
 };
 
-/* Mixes two words (the finaliser of splitmix64).  */
+/* Returns a hash of SEED and VALUE, with the finalizer of splitmix64.  */
 static uint64_t
 mix (uint64_t seed, uint64_t value)
 {
@@ -48,21 +52,22 @@
   return word ^ (word >> 31);
 }
 
-/* Returns a number from 0 up to 1.  */
+/* Maps WORD to a number from 0 up to, not including, 1.  */
 static double
 unit_interval (uint64_t word)
 {
   return (double)(word >> 11) * 0x1p-53;
 }
 
-/* Returns the steps of other daemons at the endpoint: the lagging report less
-   what this daemon has there, fading with the report's age.  */
+/* Estimates the steps of other daemons at the endpoint: the steps in the last
+   report minus the steps that this daemon has in flight, with a weight that
+   decays with the report's age.  */
 static double
-others_steps (const struct ld_load *load, int64_t now_us)
+remote_steps (const struct ld_load *load, int64_t now_us)
 {
   int64_t reported_at_us = load->reported_at_us;
   int64_t age_us = MAX (now_us - reported_at_us, 0);
-  if (reported_at_us == 0 || age_us > REPORT_AGE_MAX_US)
+  if (reported_at_us == 0 || age_us > REPORT_MAX_AGE_US)
     {
       return 0;
     }
@@ -77,7 +82,9 @@
   return steps > 0 ? weight * steps : 0.0;
 }
 
-/* Returns the expected time of one step of RANGE, queueing included.  */
+/* Returns the expected time of one step of RANGE, queueing included.  DRAW is
+   a random number that decides whether a stale observation is ignored, so that
+   the endpoint may be chosen and observed again.  */
 static double
 expected_step_us (const struct snap *snap,
                   const struct snap_endpoint *endpoint,
@@ -90,16 +97,16 @@
   double share = layers / snap->config->models[range->model].layers;
   double idle_us
       = layers * (double)CLK_S_US / MAX (host->layer_tokens_per_s, 1);
-  double alike = MIN (snap->daemons, DAEMONS_ALIKE_MAX);
-  double steps
-      = load->streams * share * alike + others_steps (load, query->now_us);
+  double assumed_daemons = MIN (snap->daemons, ASSUMED_DAEMONS_MAX);
+  double steps = load->streams * share * assumed_daemons
+                 + remote_steps (load, query->now_us);
   double modelled_us = idle_us * (1.0 + steps);
   int64_t observed_us = load->step_us;
   if (observed_us == 0)
     {
       return modelled_us;
     }
-  bool stale = query->now_us - load->step_at_us > OBSERVATION_FRESH_US;
+  bool stale = query->now_us - load->step_at_us > OBSERVATION_MAX_AGE_US;
   if (stale && load->streams == 0 && draw % PROBE_ONE_IN == 0)
     {
       return modelled_us;
@@ -107,8 +114,9 @@
   return (modelled_us + (double)observed_us) / 2.0;
 }
 
-/* Returns the cost of one token at the endpoint, the first step's share
-   included.  */
+/* Returns the cost of one token at endpoint INDEX for RANGE: step, transfer
+   and link delay, plus the amortized cost of the first step, with random
+   variation.  */
 static double
 stage_cost_us (const struct snap *snap, uint32_t index,
                const struct snap_range *range, const struct rt_query *query)
@@ -118,19 +126,21 @@
   uint64_t draw = mix (query->seed, index);
   double step_us = expected_step_us (snap, endpoint, range, query, draw);
   double bandwidth = (double)MAX (endpoint->link_bytes_per_s, 1);
-  /* An activation goes in and another comes out. */
+  /* One activation is sent to the endpoint and one comes back. */
   double transfer_us
       = 2.0 * model->activation_bytes * (double)CLK_S_US / bandwidth;
-  double first_step = query->positions
-                      * (step_us / PREFILL_POSITIONS_PER_STEP + transfer_us)
-                      / TOKENS_EXPECTED;
+  double first_step_us = query->positions
+                         * (step_us / PREFILL_POSITIONS_PER_STEP + transfer_us)
+                         / EXPECTED_TOKENS;
   double cost_us = step_us + transfer_us
-                   + 2.0 * (double)endpoint->link_delay_us + first_step;
-  return cost_us * (1.0 + SPREAD * unit_interval (mix (draw, range->first)));
+                   + 2.0 * (double)endpoint->link_delay_us + first_step_us;
+  return cost_us
+         * (1.0 + COST_JITTER * unit_interval (mix (draw, range->first)));
 }
 
+/* Returns whether endpoint INDEX may be part of the chain.  */
 static bool
-may_be_used (const struct snap_endpoint *endpoint, uint32_t index,
+is_eligible (const struct snap_endpoint *endpoint, uint32_t index,
              const struct rt_query *query)
 {
   if (!endpoint->takes_work)
@@ -156,7 +166,8 @@
   return false;
 }
 
-/* Lists the ranges of the model on endpoints that may be used.  */
+/* Returns the valid ranges of the model on endpoints that may be used, as an
+   array of struct candidate.  */
 static GArray *
 list_candidates (const struct snap *snap, const struct rt_query *query)
 {
@@ -165,7 +176,7 @@
   for (uint32_t i = 0; i < snap->endpoint_count; i++)
     {
       const struct snap_endpoint *endpoint = &snap->endpoints[i];
-      if (endpoint->range_count == 0 || !may_be_used (endpoint, i, query))
+      if (endpoint->range_count == 0 || !is_eligible (endpoint, i, query))
         {
           continue;
         }
@@ -197,12 +208,13 @@
   return a->first < b->first ? -1 : a->first > b->first;
 }
 
-/* Fills the table of cheapest ways, row by row of the number of stages.  The
-   candidates are in order of their first layer, so each way to a candidate's
-   start is known when it is reached.  */
+/* Fills the table of cheapest paths, with a row for each number of stages and
+   a column for each layer boundary, by dynamic programming.  CANDIDATES are
+   sorted by their first layer, so all paths to the first layer of a candidate
+   are known when the candidate is processed.  */
 static void
-fill_reaches (struct reach *reaches, uint32_t boundaries,
-              const GArray *candidates)
+fill_paths (struct best_path *paths, uint32_t boundaries,
+            const GArray *candidates)
 {
   for (uint32_t i = 0; i < candidates->len; i++)
     {
@@ -210,14 +222,14 @@
           = &g_array_index (candidates, struct candidate, i);
       for (uint32_t stages = 0; stages < RT_CHAIN_MAX; stages++)
         {
-          const struct reach *from
-              = &reaches[stages * boundaries + candidate->first];
-          struct reach *to
-              = &reaches[(stages + 1) * boundaries + candidate->end];
+          const struct best_path *from
+              = &paths[stages * boundaries + candidate->first];
+          struct best_path *to
+              = &paths[(stages + 1) * boundaries + candidate->end];
           double cost_us = from->cost_us + candidate->cost_us;
           if (from->known && (!to->known || cost_us < to->cost_us))
             {
-              *to = (struct reach){
+              *to = (struct best_path){
                 .known = true,
                 .cost_us = cost_us,
                 .candidate = i,
@@ -227,37 +239,39 @@
     }
 }
 
-/* Returns the number of stages of the cheapest whole chain; 0: none.  */
+/* Returns the number of stages of the cheapest complete path, or 0 if there is
+   none.  */
 static uint32_t
-best_length (const struct reach *reaches, uint32_t boundaries)
+cheapest_length (const struct best_path *paths, uint32_t boundaries)
 {
   uint32_t best = 0;
   double best_us = G_MAXDOUBLE;
   for (uint32_t length = 1; length <= RT_CHAIN_MAX; length++)
     {
-      const struct reach *whole
-          = &reaches[length * boundaries + boundaries - 1];
-      if (whole->known && whole->cost_us < best_us)
+      const struct best_path *complete
+          = &paths[length * boundaries + boundaries - 1];
+      if (complete->known && complete->cost_us < best_us)
         {
           best = length;
-          best_us = whole->cost_us;
+          best_us = complete->cost_us;
         }
     }
   return best;
 }
 
-/* Follows the table back from the last layer to the first.  */
+/* Sets CHAIN to the cheapest path of LENGTH stages, read from the table
+   backwards from the last layer.  */
 static void
-follow_back (const struct reach *reaches, uint32_t boundaries, uint32_t length,
-             const GArray *candidates, struct rt_chain *chain)
+build_chain (const struct best_path *paths, uint32_t boundaries,
+             uint32_t length, const GArray *candidates, struct rt_chain *chain)
 {
   uint32_t boundary = boundaries - 1;
   chain->length = length;
   chain->expected_step_us
-      = (int64_t)reaches[length * boundaries + boundary].cost_us;
+      = (int64_t)paths[length * boundaries + boundary].cost_us;
   for (uint32_t stages = length; stages > 0; stages--)
     {
-      uint32_t index = reaches[stages * boundaries + boundary].candidate;
+      uint32_t index = paths[stages * boundaries + boundary].candidate;
       const struct candidate *candidate
           = &g_array_index (candidates, struct candidate, index);
       chain->stages[stages - 1] = (struct rt_stage){
@@ -269,11 +283,12 @@
     }
 }
 
-/* Sets CHAIN to the chain of engines with the least expected time for each
-   token: the shortest path over layer boundaries, each held range an edge.
-   An engine with recent failures is left out, or given one stream at a time on
-   probation.  Returns ERR_NONE, ERR_NOT_FOUND when there is no such model, or
-   ERR_NO_CAPACITY when the layers are not all covered.  */
+/* Sets CHAIN to the chain of engines with the lowest expected time per token.
+   It is the shortest path in a graph whose nodes are the layer boundaries and
+   whose edges are the ranges that engines hold.  Engines with recent failures
+   are excluded during their backoff, and then get one stream at a time until
+   they have recovered.  Returns ERR_NONE, ERR_NOT_FOUND if there is no such
+   model, or ERR_NO_CAPACITY if no chain covers all layers.  */
 enum err_kind
 rt_choose_chain (const struct snap *snap, const struct rt_query *query,
                  struct rt_chain *chain)
@@ -285,17 +300,17 @@
     }
   uint32_t boundaries = snap->config->models[query->model].layers + 1;
   uint32_t cells = (RT_CHAIN_MAX + 1) * boundaries;
-  struct reach *reaches = g_new0 (struct reach, cells);
-  reaches[0].known = true;
+  struct best_path *paths = g_new0 (struct best_path, cells);
+  paths[0].known = true;
   GArray *candidates = list_candidates (snap, query);
   g_array_sort (candidates, compare_first);
-  fill_reaches (reaches, boundaries, candidates);
-  uint32_t best = best_length (reaches, boundaries);
+  fill_paths (paths, boundaries, candidates);
+  uint32_t best = cheapest_length (paths, boundaries);
   if (best > 0)
     {
-      follow_back (reaches, boundaries, best, candidates, chain);
+      build_chain (paths, boundaries, best, candidates, chain);
     }
   g_array_free (candidates, TRUE);
-  g_free (reaches);
+  g_free (paths);
   return best > 0 ? ERR_NONE : ERR_NO_CAPACITY;
 }
