--- a/test/admission_test.c
+++ b/test/admission_test.c
@@ -16,9 +16,10 @@
 
 #define ACCOUNTS 4
 #define NOW_US (1000 * CLK_S_US)
-#define PLENTY 1000000
+#define PLENTY 1000000 /* a limit that isn't reached */
 
-/* Returns a configuration whose accounts are called a0, a1 and so on.  */
+/* Returns a configuration with ACCOUNTS accounts, called a0, a1 and so on,
+   that all have the given limits and a weight of 1.  */
 static struct cfg_config *
 build_config (uint32_t requests_per_s, uint32_t tokens_per_s, uint32_t streams,
               uint32_t queue_length)
@@ -67,31 +68,31 @@
   uint32_t tokens_per_s;
   uint32_t streams;
   uint32_t daemons;
-  uint32_t tokens; /* of each request; 0: a plain service */
-  uint32_t offered;
-  uint32_t admitted;
-  uint32_t retry_after_s; /* of the first refusal */
+  uint32_t tokens;        /* of each request; 0: a plain service */
+  uint32_t offered;       /* requests */
+  uint32_t admitted;      /* expected, queued ones included */
+  uint32_t retry_after_s; /* expected of the first refusal; 0: no refusal */
 };
 
-/* All arrive at the same moment, at one daemon. */
+/* All requests arrive at the same time, at one daemon. */
 static const struct limit_case limit_cases[] = {
   { "within all limits", 10, PLENTY, 100, 1, 10, 20, 20, 0 },
-  { "requests: two seconds at once", 10, PLENTY, 100, 1, 10, 30, 20, 1 },
+  { "requests: a burst of two seconds", 10, PLENTY, 100, 1, 10, 30, 20, 1 },
   { "requests: a share for each daemon", 10, PLENTY, 100, 4, 10, 30, 5, 1 },
   { "requests: one in ten seconds", 1, PLENTY, 100, 10, 10, 3, 1, 10 },
   { "requests of a plain service", 10, PLENTY, 100, 1, 0, 30, 20, 1 },
-  { "tokens: two seconds at once", PLENTY, 100, 100, 1, 100, 5, 2, 1 },
-  { "tokens: a request beyond the burst", PLENTY, 100, 100, 1, 1000, 5, 1,
+  { "tokens: a burst of two seconds", PLENTY, 100, 100, 1, 100, 5, 2, 1 },
+  { "tokens: a request larger than the burst", PLENTY, 100, 100, 1, 1000, 5, 1,
     10 },
   { "tokens do not limit a plain service", 100, 1, 100, 1, 0, 50, 50, 0 },
   { "streams", PLENTY, PLENTY, 7, 1, 10, 20, 7, 1 },
   { "streams: a share for each daemon", PLENTY, PLENTY, 20, 4, 10, 20, 5, 1 },
   { "streams: a share below one", PLENTY, PLENTY, 3, 10, 10, 5, 1, 1 },
-  { "nothing is allowed", 0, 0, 0, 1, 10, 5, 0, 60 },
+  { "limits of 0", 0, 0, 0, 1, 10, 5, 0, 60 },
 };
 
 static void
-limits_hold_with_the_right_retry_after (void **state)
+limits_are_enforced_with_retry_after (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (limit_cases); i++)
@@ -124,9 +125,9 @@
     }
 }
 
-/* A caller that comes back when it was told to is let in.  */
+/* A caller that retries after the wait it was told is admitted.  */
 static void
-coming_back_as_told_is_let_in (void **state)
+retry_after_the_given_wait_is_admitted (void **state)
 {
   (void)state;
   struct cfg_config *config = build_config (1, PLENTY, 100, 10);
@@ -148,7 +149,7 @@
   cfg_config_destroy (config);
 }
 
-/* The daemons' shares follow demand and add up to the limit.  */
+/* The daemons' shares follow the demand and add up to the limit.  */
 static void
 shares_follow_demand (void **state)
 {
@@ -185,7 +186,8 @@
   cfg_config_destroy (config);
 }
 
-/* Fills the streams of ADM with ids from 1000000 on; returns how many.  */
+/* Starts streams, with ids from 1000000, until the limit of ADM is reached.
+   Returns their number.  */
 static uint32_t
 fill_streams (struct adm *adm)
 {
@@ -200,10 +202,11 @@
   return before.limit;
 }
 
-/* The queue never grows beyond its length; the account that fills it loses
-   places to others, not they to it.  */
+/* The queue never exceeds its length.  When it is full, requests of the
+   account that fills it are evicted in favour of other accounts, never the
+   reverse.  */
 static void
-full_queue_displaces_the_longest_backlog (void **state)
+full_queue_evicts_from_the_longest_backlog (void **state)
 {
   (void)state;
   struct cfg_config *config = build_config (PLENTY, PLENTY, PLENTY, 10);
@@ -218,7 +221,7 @@
     }
   assert_int_equal (arrive (adm, 10, 0, 100, NOW_US, &verdict), ADM_REFUSED);
   assert_int_equal (verdict.error, ERR_OVERLOADED);
-  /* 10 streams of 64 tokens, as expected, at 1000 a second. */
+  /* 10 queued streams of 64 expected tokens, at 1000 tokens per second. */
   assert_int_equal (verdict.retry_after_s, 1);
   uint64_t id;
   assert_int_equal (arrive (adm, 11, 1, 100, NOW_US, &verdict), ADM_QUEUED);
@@ -228,7 +231,7 @@
   assert_int_equal (adm_next (adm, NOW_US, &id, &verdict), ADM_NOTHING);
   adm_read_state (adm, &load);
   assert_int_equal (load.queued, 10);
-  /* The next place that is free goes to an account with less service. */
+  /* A free slot goes to the account that has been served less. */
   adm_finish (adm, 1000000, 10, NOW_US);
   assert_int_equal (adm_next (adm, NOW_US, &id, &verdict), ADM_ADMITTED);
   adm_finish (adm, 1000001, 10, NOW_US);
@@ -242,15 +245,16 @@
 struct deadline_case
 {
   const char *name;
-  uint32_t queued; /* before it, of the same account, 64 tokens each */
-  int64_t deadline_us;
+  uint32_t queued;     /* earlier requests of the account, 64 tokens each */
+  int64_t deadline_us; /* from the arrival */
   enum adm_decision decision;
   uint32_t retry_after_s;
 };
 
-/* 100 tokens a second; between tokens 39 ms, so 64 tokens take 2.5 s. */
+/* The capacity is 100 tokens per second.  With 39 ms between tokens, a stream
+   of 64 tokens takes 2.5 s. */
 static const struct deadline_case deadline_cases[] = {
-  { "no deadline to speak of", 0, 60 * CLK_S_US, ADM_QUEUED, 0 },
+  { "a distant deadline", 0, 60 * CLK_S_US, ADM_QUEUED, 0 },
   { "shorter than the stream itself", 0, 2 * CLK_S_US, ADM_REFUSED, 0 },
   { "long enough for the queue", 10, 10 * CLK_S_US, ADM_QUEUED, 0 },
   { "2 s short", 10, 6900 * CLK_MS_US, ADM_REFUSED, 2 },
@@ -294,8 +298,8 @@
     }
 }
 
-/* A queued request whose deadline can no longer be met is refused then, not at
-   its deadline.  */
+/* A queued request is refused as soon as its deadline can no longer be met,
+   not only when the deadline has passed.  */
 static void
 queued_request_is_refused_before_its_deadline (void **state)
 {
@@ -326,9 +330,9 @@
   cfg_config_destroy (config);
 }
 
-/* Every way out gives back what was taken.  */
+/* However a request ends, its stream no longer counts against the limits.  */
 static void
-finish_and_give_up_free_everything (void **state)
+finish_and_cancel_release_the_limits (void **state)
 {
   (void)state;
   struct cfg_config *config = build_config (PLENTY, PLENTY, 50, 1000);
@@ -362,8 +366,8 @@
   cfg_config_destroy (config);
 }
 
-/* However many calls fail, retries stay within the budget; idempotent calls
-   alone are hedged, within theirs.  */
+/* Retries stay within their budget, however many calls fail.  Only idempotent
+   calls are hedged, within the hedge budget.  */
 static void
 retries_and_hedges_stay_within_budgets (void **state)
 {
@@ -385,7 +389,8 @@
           retries += adm_retry_allowed (adm, 0, (uint32_t)id % 10, now_us);
         }
     }
-  /* One in five, one a second and the depth, less one for each hedge. */
+  /* One per five requests, one per second and the bucket's depth; each hedge
+     takes one of these. */
   assert_in_range (retries + hedges, 200, 220);
   assert_in_range (hedges, 1, 54);
   retries = 0;
@@ -398,11 +403,11 @@
   cfg_config_destroy (config);
 }
 
-/* Every stream under way may be retried when all fail at one endpoint, and
-   again when the endpoints that they moved to fail next; then the budgets are
-   used up.  */
+/* When an endpoint fails that carries all running streams, each stream may be
+   retried, and again when the endpoints that took the streams over fail next.
+   After that the budgets are nearly exhausted.  */
 static void
-streams_of_two_losses_are_all_retried (void **state)
+two_faults_allow_a_retry_of_every_stream (void **state)
 {
   (void)state;
   struct cfg_config *config = build_config (PLENTY, PLENTY, PLENTY, 1000);
@@ -418,7 +423,8 @@
     {
       assert_true (adm_retry_allowed (adm, 0, 1 + i % 4, NOW_US + CLK_S_US));
     }
-  /* The first endpoint has little left, the account one each and 16 more. */
+  /* The budget of the first endpoint is nearly exhausted; the account has one
+     retry per stream and 16 more left. */
   for (uint32_t i = 0; i < 1000; i++)
     {
       further += adm_retry_allowed (adm, 0, 0, NOW_US + CLK_S_US);
@@ -433,7 +439,8 @@
   cfg_config_destroy (config);
 }
 
-/* Service is shared by weight, and within a flow by priority, then age.  */
+/* Flows are served in proportion to their weights, and the items of a flow by
+   priority, then in order of arrival.  */
 static void
 fair_queue_serves_by_weight_and_priority (void **state)
 {
@@ -476,27 +483,29 @@
 struct capacity_case
 {
   const char *name;
-  double assumed; /* tokens a second; 0: unknown */
-  double real;
-  int64_t unloaded_us;
-  double least; /* streams that the bound comes to */
+  double assumed;      /* tokens per second; 0: unknown */
+  double real;         /* tokens per second */
+  int64_t unloaded_us; /* between tokens, without load */
+  double least;        /* expected range of the limit, in streams */
   double most;
 };
 
-/* The target is 39 ms, so 78 streams at 2000 tokens a second, and one step of
-   2% beyond, as it is found by trying. */
+/* The target of 39 ms allows 78 streams at 2000 tokens per second.  The limit
+   may exceed that by one increase of 2 %, since it is raised until the target
+   is missed. */
 static const struct capacity_case capacity_cases[] = {
   { "as assumed", 2000, 2000, 15000, 65, 80 },
-  { "a sixth of what is assumed", 12000, 2000, 15000, 65, 80 },
-  { "half as much again", 1400, 2000, 15000, 65, 80 },
-  { "unknown", 0, 1600, 15000, 52, 64 },
+  { "a sixth of the assumed capacity", 12000, 2000, 15000, 65, 80 },
+  { "1.4 times the assumed capacity", 1400, 2000, 15000, 65, 80 },
+  { "unknown capacity", 0, 1600, 15000, 52, 64 },
   { "the target is out of reach", 2000, 2000, 60000, 110, 123 },
 };
 
-/* Whatever capacity is assumed, the bound comes to what the target allows, or
-   to what fills the fleet where the target is out of reach.  */
+/* Whatever capacity is assumed, the limit converges to the streams that the
+   target allows, or to those that saturate the fleet if the target can't be
+   met.  */
 static void
-bound_on_streams_follows_what_is_served (void **state)
+stream_limit_follows_real_capacity (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (capacity_cases); i++)
@@ -504,7 +513,7 @@
       const struct capacity_case *row = &capacity_cases[i];
       struct con_limit limit;
       con_init (&limit, row->assumed, 39 * CLK_MS_US);
-      /* It starts idle, as daemons do. */
+      /* One stream at first, since daemons start without load. */
       for (int j = 0; j < 32; j++)
         {
           con_observe (&limit, row->unloaded_us, 1);
@@ -520,10 +529,11 @@
     }
 }
 
-/* An account whose streams end early is not refused for what they may
-   generate; one that uses it all is.  */
+/* The expected length of a stream follows the lengths of the account's
+   previous streams: if they ended early, a request isn't refused for the
+   length that it may have, and if they had their full length, it is.  */
 static void
-length_of_streams_is_learnt (void **state)
+stream_length_estimate_follows_observations (void **state)
 {
   (void)state;
   static const uint32_t generated[] = { 40, 4000 };
@@ -556,9 +566,9 @@
     }
 }
 
-/* A queue model: streams under way share the engines' rate, those that engines
-   are told to run first before the others, and none is faster than an unloaded
-   fleet allows.  */
+/* Simulation of a fleet: running streams share the engines' token rate,
+   prioritized streams before the others, and no stream is faster than on an
+   unloaded fleet. */
 #define MODEL_TOKENS_PER_S 2000.0
 #define MODEL_UNLOADED_US (15 * CLK_MS_US)
 #define MODEL_TICK_US (10 * CLK_MS_US)
@@ -572,8 +582,8 @@
   uint64_t id;
   uint32_t account;
   bool started;
-  bool yields; /* to the streams of other accounts */
-  double tokens;
+  bool deprioritized; /* lower engine priority than prioritized streams */
+  double tokens;      /* generated so far */
   int64_t arrived_us;
 };
 
@@ -582,15 +592,15 @@
   struct adm *adm;
   GRand *rand;
   GPtrArray *streams;
-  double goodput; /* tokens of streams that met their deadline */
-  uint32_t late;
-  uint32_t finished;
-  GArray *latencies; /* double, of account 1 */
+  double goodput;    /* tokens per second of streams that met their deadline */
+  uint32_t late;     /* streams that missed it */
+  uint32_t finished; /* streams */
+  GArray *latencies; /* double, in us, of account 1 */
 };
 
-/* Draws from a Poisson distribution of a small MEAN.  */
+/* Returns a random number of a Poisson distribution with a small MEAN.  */
 static uint32_t
-poisson (GRand *rand, double mean)
+random_poisson (GRand *rand, double mean)
 {
   double limit = exp (-mean);
   double product = g_rand_double (rand);
@@ -621,7 +631,7 @@
 model_start (struct model_stream *stream, const struct adm_verdict *verdict)
 {
   stream->started = true;
-  stream->yields = verdict->step_priority >= FQ_PRIORITIES;
+  stream->deprioritized = verdict->step_priority >= FQ_PRIORITIES;
 }
 
 static void
@@ -654,7 +664,7 @@
 }
 
 static void
-model_serve_queue (struct model *model, int64_t now_us)
+model_process_queue (struct model *model, int64_t now_us)
 {
   uint64_t id;
   struct adm_verdict verdict;
@@ -692,24 +702,25 @@
   adm_finish (model->adm, stream->id, MODEL_TOKENS, now_us);
 }
 
-/* Gives each stream its part of one tick and ends those that are whole.  */
+/* Generates the tokens of one tick and finishes the streams that are
+   complete.  */
 static void
 model_run_tick (struct model *model, int64_t now_us)
 {
   uint32_t count[2] = { 0 };
-  double part[2];
-  double most = (double)MODEL_TICK_US / MODEL_UNLOADED_US;
-  double left = MODEL_TOKENS_PER_S * MODEL_TICK_US / CLK_S_US;
+  double tokens_per_stream[2];
+  double stream_max = (double)MODEL_TICK_US / MODEL_UNLOADED_US;
+  double tokens_left = MODEL_TOKENS_PER_S * MODEL_TICK_US / CLK_S_US;
   for (guint i = 0; i < model->streams->len; i++)
     {
       const struct model_stream *stream
           = g_ptr_array_index (model->streams, i);
-      count[stream->yields] += stream->started;
+      count[stream->deprioritized] += stream->started;
     }
   for (int i = 0; i < 2; i++)
     {
-      part[i] = MIN (most, left / MAX (count[i], 1));
-      left -= part[i] * count[i];
+      tokens_per_stream[i] = MIN (stream_max, tokens_left / MAX (count[i], 1));
+      tokens_left -= tokens_per_stream[i] * count[i];
     }
   for (guint i = model->streams->len; i > 0; i--)
     {
@@ -719,11 +730,13 @@
           continue;
         }
       double before = stream->tokens;
-      stream->tokens += part[stream->yields];
+      stream->tokens += tokens_per_stream[stream->deprioritized];
       if (floor (stream->tokens) > floor (before))
         {
-          adm_observe_step (model->adm,
-                            (int64_t)(MODEL_TICK_US / part[stream->yields]));
+          adm_observe_step (
+              model->adm,
+              (int64_t)(MODEL_TICK_US
+                        / tokens_per_stream[stream->deprioritized]));
         }
       if (stream->tokens >= MODEL_TOKENS)
         {
@@ -733,7 +746,8 @@
     }
 }
 
-/* Runs the model with RATES streams a second offered by each account.  */
+/* Simulates accounts that each offer RATES streams per second.  The results
+   are in MODEL; the caller frees its latencies.  */
 static void
 run_model (struct model *model, const double *rates, uint32_t seed)
 {
@@ -751,13 +765,13 @@
       for (uint32_t i = 0; i < ACCOUNTS; i++)
         {
           double mean = rates[i] * MODEL_TICK_US / CLK_S_US;
-          for (uint32_t j = poisson (model->rand, mean); j > 0; j--)
+          for (uint32_t j = random_poisson (model->rand, mean); j > 0; j--)
             {
               model_arrive (model, i, ++id, now_us);
             }
         }
       model_run_tick (model, now_us);
-      model_serve_queue (model, now_us);
+      model_process_queue (model, now_us);
     }
   model->goodput /= (double)(MODEL_END_US - MODEL_WARM_UP_US) / CLK_S_US;
   g_ptr_array_free (model->streams, TRUE);
@@ -766,6 +780,8 @@
   cfg_config_destroy (config);
 }
 
+/* Returns the goodput in tokens per second at LOAD, a multiple of the
+   capacity, and adds the finished and late streams to FINISHED and LATE.  */
 static double
 goodput_at (double load, uint32_t seed, uint32_t *finished, uint32_t *late)
 {
@@ -779,11 +795,10 @@
   return model.goodput;
 }
 
-/* At three times the load that the fleet carries, what is delivered in time
-   stays at its peak, and of what was admitted less than one in a hundred is
-   late.  */
+/* At three times the fleet's capacity, the goodput stays within 5 % of its
+   peak, and less than 1 % of the admitted streams miss their deadline.  */
 static void
-overload_keeps_goodput (void **state)
+goodput_stays_at_peak_under_overload (void **state)
 {
   (void)state;
   static const double loads[] = { 0.6, 0.8, 0.9, 1.0, 1.1, 1.5, 2.0 };
@@ -813,9 +828,10 @@
   return a < b ? -1 : a > b;
 }
 
-/* Returns the 95th percentile of account 1's latency.  */
+/* Returns the 95th percentile of account 1's latency in microseconds, while
+   account 0 offers LARGE_RATE streams per second.  */
 static double
-small_latency (double large_rate, uint32_t seed)
+small_account_latency (double large_rate, uint32_t seed)
 {
   double rates[ACCOUNTS] = { large_rate, 1.0, 1.0, 1.0 };
   struct model model;
@@ -828,17 +844,17 @@
   return p95;
 }
 
-/* One account at ten times its share of the fleet leaves the latency of the
-   others within 1.2 of what it is without that account.  */
+/* An account that offers ten times its share of the fleet raises the latency
+   of other accounts to at most 1.2 times the latency without that account.  */
 static void
-large_account_leaves_small_ones_alone (void **state)
+large_account_does_not_slow_small_ones (void **state)
 {
   (void)state;
   double share = MODEL_TOKENS_PER_S / MODEL_TOKENS / ACCOUNTS;
   for (uint32_t seed = 1; seed <= 3; seed++)
     {
-      double alone = small_latency (0.0, seed);
-      double beside = small_latency (10.0 * share, seed);
+      double alone = small_account_latency (0.0, seed);
+      double beside = small_account_latency (10.0 * share, seed);
       print_message ("seed %u: alone %.0f us, beside %.0f us\n", seed, alone,
                      beside);
       assert_true (beside <= 1.2 * alone);
@@ -849,20 +865,20 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (limits_hold_with_the_right_retry_after),
-    cmocka_unit_test (coming_back_as_told_is_let_in),
+    cmocka_unit_test (limits_are_enforced_with_retry_after),
+    cmocka_unit_test (retry_after_the_given_wait_is_admitted),
     cmocka_unit_test (shares_follow_demand),
-    cmocka_unit_test (full_queue_displaces_the_longest_backlog),
+    cmocka_unit_test (full_queue_evicts_from_the_longest_backlog),
     cmocka_unit_test (unmeetable_deadlines_are_refused_at_once),
     cmocka_unit_test (queued_request_is_refused_before_its_deadline),
-    cmocka_unit_test (finish_and_give_up_free_everything),
+    cmocka_unit_test (finish_and_cancel_release_the_limits),
     cmocka_unit_test (retries_and_hedges_stay_within_budgets),
-    cmocka_unit_test (streams_of_two_losses_are_all_retried),
+    cmocka_unit_test (two_faults_allow_a_retry_of_every_stream),
     cmocka_unit_test (fair_queue_serves_by_weight_and_priority),
-    cmocka_unit_test (bound_on_streams_follows_what_is_served),
-    cmocka_unit_test (length_of_streams_is_learnt),
-    cmocka_unit_test (overload_keeps_goodput),
-    cmocka_unit_test (large_account_leaves_small_ones_alone),
+    cmocka_unit_test (stream_limit_follows_real_capacity),
+    cmocka_unit_test (stream_length_estimate_follows_observations),
+    cmocka_unit_test (goodput_stays_at_peak_under_overload),
+    cmocka_unit_test (large_account_does_not_slow_small_ones),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
