--- a/test/attempt_test.c
+++ b/test/attempt_test.c
@@ -6,8 +6,9 @@
 
 #include <cmocka.h>
 
-#define LEFT_US 1000000
+#define LEFT_US 1000000 /* enough time left for another attempt */
 
+/* A request whose attempt ended with `end', and the expected verdict. */
 struct row
 {
   const char *name;
@@ -16,17 +17,19 @@
   struct att_verdict want;
 };
 
+/* Three kinds of requests: never repeatable, freely repeatable, and repeatable
+   as a resumed stream. */
 #define BOOKING .repeat = FLT_REPEAT_NEVER, .attempts_max = 1
 #define LOOKUP .repeat = FLT_REPEAT_FREELY, .attempts_max = 2
 #define STREAM                                                                \
   .repeat = FLT_REPEAT_STREAM, .resumable = true, .attempts_max = 2
 
 static const struct row rows[] = {
-  { "a booking that found no connection goes elsewhere",
+  { "a booking without a connection is retried elsewhere",
     { BOOKING, .left_us = LEFT_US },
     ATT_NOT_SENT,
     { .next = ATT_RETRY } },
-  { "a booking that was refused unrun goes elsewhere",
+  { "a booking that was refused without running is retried elsewhere",
     { BOOKING, .sent = 1, .left_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_RETRY, .needs_budget = true } },
@@ -34,19 +37,19 @@
     { BOOKING, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
-  { "a booking whose answer was spoiled is never repeated",
+  { "a booking with an invalid response is never repeated",
     { BOOKING, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
     ATT_SPOILED,
     { .next = ATT_ANSWER, .status = 502 } },
-  { "a booking that failed delivers the endpoint's failure",
+  { "a booking that failed delivers the endpoint's error",
     { BOOKING, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
     ATT_FAILED,
     { .next = ATT_PASS_FAILURE } },
-  { "a booking that ran out of time may have run",
+  { "a booking whose deadline passed may have run",
     { BOOKING, .sent = 1, .may_have_run = 1 },
     ATT_TIMED_OUT,
     { .next = ATT_ANSWER, .status = 504 } },
-  { "a booking that is refused everywhere was not run",
+  { "a booking that every endpoint refused was not run",
     { BOOKING, .sent = ATT_SENT_MAX, .left_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_ANSWER, .status = 503 } },
@@ -54,11 +57,11 @@
     { LOOKUP, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_RETRY, .needs_budget = true } },
-  { "and not more often than its route allows",
+  { "a lookup is not repeated more often than its route allows",
     { LOOKUP, .sent = 2, .may_have_run = 2, .left_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
-  { "a lookup that failed twice delivers the failure",
+  { "a lookup that failed twice delivers the endpoint's error",
     { LOOKUP, .sent = 2, .may_have_run = 2, .left_us = LEFT_US },
     ATT_FAILED,
     { .next = ATT_PASS_FAILURE } },
@@ -66,22 +69,22 @@
     { LOOKUP, .sent = 1, .may_have_run = 1, .left_us = 1000 },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
-  { "a stream that was begun is resumed",
+  { "a stream that has begun is resumed",
     { STREAM, .answer_begun = true, .sent = 1, .may_have_run = 1,
       .left_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_RESUME, .needs_budget = true } },
-  { "a stream without an attempt left is broken off",
+  { "a stream without an attempt left is closed",
     { STREAM, .answer_begun = true, .sent = 2, .may_have_run = 2,
       .left_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_BREAK_OFF } },
-  { "a resumed stream that is refused unrun is resumed elsewhere",
+  { "a resumed stream that is refused without running is resumed elsewhere",
     { STREAM, .answer_begun = true, .sent = 2, .may_have_run = 1,
       .left_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_RESUME, .needs_budget = true } },
-  { "a stream that may not be resumed is broken off",
+  { "a stream that may not be resumed is closed",
     { .repeat = FLT_REPEAT_STREAM,
       .attempts_max = 2,
       .answer_begun = true,
@@ -92,6 +95,7 @@
     { .next = ATT_BREAK_OFF } },
 };
 
+/* The verdicts while the retry budget isn't exhausted.  */
 static void
 test_decide (void **state)
 {
@@ -110,44 +114,46 @@
     }
 }
 
-static const struct row unpaid_rows[] = {
-  { "a lookup that may have run isn't said to be unrun",
+static const struct row final_rows[] = {
+  { "a lookup that may have run is not reported as not run",
     { LOOKUP, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
-  { "one refusal after a cut doesn't make it unrun",
+  { "a request refused after an incomplete response may have run",
     { LOOKUP, .sent = 2, .may_have_run = 1, .left_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_ANSWER, .status = 502 } },
-  { "a booking that never arrived was not run",
+  { "a booking that was never sent was not run",
     { BOOKING, .left_us = LEFT_US },
     ATT_NOT_SENT,
     { .next = ATT_ANSWER, .status = 503 } },
-  { "a stream that was begun is broken off",
+  { "a stream that has begun is closed",
     { STREAM, .answer_begun = true, .sent = 1, .may_have_run = 1,
       .left_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_BREAK_OFF } },
 };
 
+/* The verdicts when the retry budget is exhausted or no endpoint is left.  */
 static void
 test_decide_unpaid (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof unpaid_rows / sizeof unpaid_rows[0]; i++)
+  for (size_t i = 0; i < sizeof final_rows / sizeof final_rows[0]; i++)
     {
       struct att_verdict got;
-      att_decide_unpaid (&unpaid_rows[i].request, unpaid_rows[i].end, &got);
-      if (got.next != unpaid_rows[i].want.next
-          || got.status != unpaid_rows[i].want.status)
+      att_decide_unpaid (&final_rows[i].request, final_rows[i].end, &got);
+      if (got.next != final_rows[i].want.next
+          || got.status != final_rows[i].want.status)
         {
-          fail_msg ("%s: next %d, status %u", unpaid_rows[i].name, got.next,
+          fail_msg ("%s: next %d, status %u", final_rows[i].name, got.next,
                     got.status);
         }
     }
 }
 
-/* Found by a hunt: a silence ended a stream that had no attempt left.  */
+/* Guards against a stream that has no attempt left being ended only because
+   its endpoint doesn't respond for a while.  */
 static void
 test_abandon (void **state)
 {
--- a/test/limits_test.c
+++ b/test/limits_test.c
@@ -9,9 +9,10 @@
 
 #include <cmocka.h>
 
-#define S_US INT64_C (1000000)
+#define S_US INT64_C (1000000) /* microseconds in a second */
 
-/* Takes repeats at NOW_US until the budget is spent.  Returns their number. */
+/* Takes repeats at NOW_US until the budget is exhausted.  Returns their
+   number.  */
 static uint32_t
 take_all (struct rbg_budget *budget, int64_t now_us)
 {
@@ -23,6 +24,7 @@
   return taken;
 }
 
+/* Repeats allowed within one window by ratio, slack share and margin.  */
 static void
 test_retry_budget (void **state)
 {
@@ -31,7 +33,7 @@
   {
     double share;
     uint32_t requests;
-    uint32_t want;
+    uint32_t want; /* repeats */
   } rows[] = {
     { 0, 0, 0 },       { 0, 100, 16 }, { 0.25, 0, 39 },
     { 0.25, 100, 55 }, { 0, 6, 0 },    { 0, 7, 1 },
@@ -51,18 +53,19 @@
     }
 }
 
-/* Found by the soak, seed 109: when partitions were dealt anew, the new holder
-   spent the slack that the old one had just spent.  A share that grows counts
-   once the window has passed, one that shrinks at once.  */
+/* Guards against spending the slack twice when a part of it moves to another
+   daemon (soak, seed 109): after a reassignment of partitions, the new holder
+   spent the slack that the old one had just spent.  An increased share takes
+   effect once the window has passed, a reduced one at once.  */
 static void
-test_retry_budget_moves (void **state)
+test_retry_budget_share_changes (void **state)
 {
   (void)state;
   static const struct
   {
     double at_s;
     double share;
-    uint32_t want;
+    uint32_t want; /* repeats */
   } rows[] = {
     { 1, 0, 0 },     { 5, 0.5, 0 },    { 14, 0.5, 0 }, { 16, 0.5, 40 },
     { 30, 0.5, 40 }, { 45, 0.25, 20 }, { 47, 0.5, 0 }, { 62, 0.5, 40 },
@@ -79,7 +82,7 @@
     }
 }
 
-/* What a storm spends comes back only with the window.  */
+/* Spent repeats are available again only after a whole window.  */
 static void
 test_retry_budget_window (void **state)
 {
@@ -95,14 +98,15 @@
       assert_false (rbg_allows (&budget, 1, now_us));
     }
   assert_int_equal (take_all (&budget, 12 * S_US), 8);
-  /* A process that stood still for long starts with an empty window. */
+  /* After a long pause of the process the window is empty. */
   assert_int_equal (take_all (&budget, 900 * S_US), 8);
 }
 
-/* Found by a hunt: daemons that were killed and started again had forgotten
-   what they had spent, and spent the slack once more.  */
+/* Guards against spending the slack again after a restart: a daemon that was
+   killed doesn't know what it had spent, so it gets no slack before
+   `slack_from_us'.  */
 static void
-test_retry_budget_start (void **state)
+test_retry_budget_restart (void **state)
 {
   (void)state;
   const struct rbg_params params = { .ratio = 0.2,
@@ -116,86 +120,89 @@
   assert_int_equal (take_all (&budget, 31 * S_US), 80);
 }
 
-enum act
+/* A result to record. */
+enum result
 {
-  ACT_FAIL,
-  ACT_CERTAIN,
-  ACT_SUCCEED
+  RESULT_FAILURE, /* a failure that is inconclusive by itself */
+  RESULT_DEATH,   /* a failure that shows that the endpoint is dead */
+  RESULT_SUCCESS
 };
 
-/* Applies COUNT times ACT at NOW_US.  */
+/* Records the result RESULT at NOW_US, COUNT times.  */
 static void
-apply (struct evd_evidence *evidence, enum act act, uint32_t count,
-       int64_t now_us)
+record_results (struct evd_evidence *evidence, enum result result,
+                uint32_t count, int64_t now_us)
 {
   for (uint32_t i = 0; i < count; i++)
     {
-      if (act == ACT_SUCCEED)
+      if (result == RESULT_SUCCESS)
         {
           evd_success (evidence, S_US / 10);
         }
       else
         {
-          evd_failure (evidence, act == ACT_CERTAIN ? EVD_DEATH : EVD_DOUBT,
-                       now_us);
+          evd_failure (evidence,
+                       result == RESULT_DEATH ? EVD_DEATH : EVD_DOUBT, now_us);
         }
     }
 }
 
-/* One failure of many is no reason to rest; a certain one is, and so are
-   failures that are more than half.  */
+/* A few inconclusive failures don't start a backoff; a conclusive failure
+   does, and so does a failure rate of more than half.  */
 static void
-test_evidence_rests (void **state)
+test_evidence_backoff (void **state)
 {
   (void)state;
   static const struct
   {
-    enum act act;
+    enum result result;
     uint32_t count;
     bool usable;
   } rows[] = {
-    { ACT_SUCCEED, 3, true }, { ACT_FAIL, 1, true },     { ACT_FAIL, 4, true },
-    { ACT_FAIL, 6, false },   { ACT_CERTAIN, 1, false },
+    { RESULT_SUCCESS, 3, true }, { RESULT_FAILURE, 1, true },
+    { RESULT_FAILURE, 4, true }, { RESULT_FAILURE, 6, false },
+    { RESULT_DEATH, 1, false },
   };
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
       struct evd_evidence evidence = { 0 };
-      apply (&evidence, rows[i].act, rows[i].count, S_US);
+      record_results (&evidence, rows[i].result, rows[i].count, S_US);
       assert_int_equal (evd_usable (&evidence, S_US), rows[i].usable);
     }
 }
 
-/* An endpoint that goes up and down rests longer each time, gets one request
-   at a time as proof, and is good again after a success.  */
+/* A flapping endpoint gets a longer backoff each time, then a single probe
+   request, and is healthy again after a success.  */
 static void
-test_evidence_flaps (void **state)
+test_evidence_flapping (void **state)
 {
   (void)state;
   struct evd_evidence evidence = { 0 };
   int64_t now_us = S_US;
-  int64_t last_rest_us = 0;
-  for (uint32_t turn = 0; turn < 4; turn++)
+  int64_t last_backoff_us = 0;
+  for (uint32_t failure = 0; failure < 4; failure++)
     {
       assert_true (evd_failure (&evidence, EVD_DEATH, now_us));
-      int64_t rest_us = evidence.rest_until_us - now_us;
-      assert_true (rest_us > last_rest_us);
+      int64_t backoff_us = evidence.rest_until_us - now_us;
+      assert_true (backoff_us > last_backoff_us);
       assert_false (evd_usable (&evidence, evidence.rest_until_us - 1));
       now_us = evidence.rest_until_us;
       assert_true (evd_usable (&evidence, now_us));
       evd_begin (&evidence);
       assert_false (evd_usable (&evidence, now_us));
       evd_end (&evidence);
-      last_rest_us = rest_us;
+      last_backoff_us = backoff_us;
     }
   evd_success (&evidence, S_US / 10);
   evd_begin (&evidence);
   assert_true (evd_usable (&evidence, now_us));
-  apply (&evidence, ACT_SUCCEED, 40, now_us);
+  record_results (&evidence, RESULT_SUCCESS, 40, now_us);
   assert_int_equal (evidence.strikes, 0);
 }
 
-/* Found by a hunt: streams over an engine that had only refused others were
-   given up, and broken off when nothing else took them.  */
+/* Guards against treating an engine as dead that only refused requests: its
+   streams were then abandoned, and closed when no other engine accepted
+   them.  */
 static void
 test_evidence_death (void **state)
 {
@@ -204,7 +211,7 @@
   {
     enum evd_proof proofs[3];
     uint32_t count;
-    bool success; /* at the end */
+    bool success; /* a success follows the failures */
     bool dead;
   } rows[] = {
     { { EVD_DOUBT, EVD_DOUBT, EVD_DOUBT }, 3, false, false },
@@ -231,6 +238,8 @@
     }
 }
 
+/* Whether a daemon accepts and rejects keys by the age of its configuration's
+   last proof.  */
 static void
 test_freshness (void **state)
 {
@@ -259,16 +268,17 @@
     }
 }
 
-/* Found by a hunt: all daemons were stopped in series, and streams that came
-   seconds after the stop were cut by its end.  */
+/* Guards against accepting streams that can't end before a daemon has stopped:
+   when all daemons were stopped one after another, streams that arrived
+   seconds after the start of a stop were cut off at its end.  */
 static void
 test_stopping (void **state)
 {
   (void)state;
   static const struct
   {
-    double age_s;
-    double expected_s;
+    double age_s;      /* time since the start of the stop */
+    double expected_s; /* expected duration of the stream */
     bool want;
   } rows[] = {
     { 0.1, 4, true },     { 2.5, 4, true },  { 4.9, 4, false },
@@ -283,17 +293,18 @@
     }
 }
 
-/* Found by a hunt: a stream that was longer than the average was taken late in
-   a stop and cut by its end.  The longest of the last ones counts.  */
+/* Guards against underestimating streams during a stop: a stream that was
+   longer than the average was accepted late in a stop and cut off at its end.
+   Therefore the longest of the recent streams counts.  */
 static void
 test_stopping_peak (void **state)
 {
   (void)state;
   static const struct
   {
-    double run_s;
+    double run_s; /* duration of the streams */
     uint32_t times;
-    double least_s;
+    double least_s; /* expected range of the estimate */
     double most_s;
   } rows[] = {
     { 4, 1, 4, 4 }, { 1, 1, 3.9, 4 }, { 1, 20, 3, 3.5 },
@@ -317,11 +328,11 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_retry_budget),
     cmocka_unit_test (test_retry_budget_window),
-    cmocka_unit_test (test_retry_budget_moves),
-    cmocka_unit_test (test_evidence_rests),
-    cmocka_unit_test (test_evidence_flaps),
+    cmocka_unit_test (test_retry_budget_share_changes),
+    cmocka_unit_test (test_evidence_backoff),
+    cmocka_unit_test (test_evidence_flapping),
     cmocka_unit_test (test_evidence_death),
-    cmocka_unit_test (test_retry_budget_start),
+    cmocka_unit_test (test_retry_budget_restart),
     cmocka_unit_test (test_freshness),
     cmocka_unit_test (test_stopping),
     cmocka_unit_test (test_stopping_peak),
