--- a/test/flow_test.c
+++ b/test/flow_test.c
@@ -7,8 +7,10 @@
 
 #include <cmocka.h>
 
-#define RANGES_MAX 6
+#define RANGES_MAX 6 /* unused ones are empty */
 
+/* Ranges that copies of the layers hold, and the expected rate of the
+   model. */
 struct flow_case
 {
   const char *name;
@@ -18,17 +20,23 @@
 };
 
 static const struct flow_case flow_cases[] = {
-  { "nothing held", 8, { { 0, 0, 0 } }, 0 },
-  { "one engine holds all", 8, { { 0, 8, 50 } }, 50 },
+  { "no ranges", 8, { { 0, 0, 0 } }, 0 },
+  { "one engine holds all layers", 8, { { 0, 8, 50 } }, 50 },
   { "the slowest stage limits", 8, { { 0, 4, 50 }, { 4, 8, 30 } }, 30 },
-  { "copies add up", 8, { { 0, 4, 20 }, { 0, 4, 15 }, { 4, 8, 100 } }, 35 },
-  { "a gap stops all", 8, { { 0, 3, 50 }, { 4, 8, 50 } }, 0 },
-  { "an overlap is no way through", 8, { { 0, 5, 50 }, { 3, 8, 50 } }, 0 },
-  { "boundaries that differ",
+  { "the rates of copies add up",
+    8,
+    { { 0, 4, 20 }, { 0, 4, 15 }, { 4, 8, 100 } },
+    35 },
+  { "no rate across a gap", 8, { { 0, 3, 50 }, { 4, 8, 50 } }, 0 },
+  { "overlapping ranges do not connect",
+    8,
+    { { 0, 5, 50 }, { 3, 8, 50 } },
+    0 },
+  { "different boundaries",
     8,
     { { 0, 4, 10 }, { 4, 8, 30 }, { 0, 6, 20 }, { 6, 8, 5 }, { 4, 6, 9 } },
     15 },
-  { "flow is led back",
+  { "flow on a first path is rerouted",
     3,
     { { 0, 1, 10 }, { 0, 2, 10 }, { 1, 2, 1 }, { 1, 3, 10 }, { 2, 3, 10 } },
     20 },
@@ -49,8 +57,8 @@
     }
 }
 
-/* The minimum cut separates source and sink where the flow is stopped, and a
-   changed capacity gives a new flow.  */
+/* The edge that limits the flow separates the two sides of the minimum cut,
+   and a changed capacity changes the flow and the cut.  */
 static void
 cut_and_changed_capacity (void **state)
 {
--- a/test/room_test.c
+++ b/test/room_test.c
@@ -11,8 +11,8 @@
 #define NEEDS_MAX 3
 #define CAPACITIES_MAX 4
 
-/* What engines hold, which of them each path needs, and the room that it
-   gets. */
+/* Capacities of engines, the engines that each path needs, and the room that
+   each path is expected to get. */
 static const struct
 {
   const char *name;
@@ -22,7 +22,7 @@
   double want[PATHS_MAX];
   uint32_t path_count;
 } rows[] = {
-  { .name = "a path has the room of its smallest part",
+  { .name = "a path is limited by its smallest engine",
     .capacities = { 10, 4, 8 },
     .needs = { { 0, 1, 2 } },
     .need_counts = { 3 },
@@ -34,19 +34,19 @@
     .need_counts = { 2, 2 },
     .path_count = 2,
     .want = { 5, 5 } },
-  { .name = "what one can't use goes to the other",
+  { .name = "capacity that one path can't use goes to the other",
     .capacities = { 10, 2, 20 },
     .needs = { { 0, 1 }, { 0, 2 } },
     .need_counts = { 2, 2 },
     .path_count = 2,
     .want = { 2, 8 } },
-  { .name = "a path of its own isn't held back by others",
+  { .name = "a path that shares no engine isn't limited by others",
     .capacities = { 10, 20, 20, 7 },
     .needs = { { 0, 1 }, { 0, 2 }, { 3 } },
     .need_counts = { 2, 2, 1 },
     .path_count = 3,
     .want = { 5, 5, 7 } },
-  { .name = "no path", .capacities = { 10 } },
+  { .name = "no paths", .capacities = { 10 } },
 };
 
 static void
--- a/test/shared_load_test.c
+++ b/test/shared_load_test.c
@@ -12,7 +12,8 @@
 #define STEP_SHORT_US 900
 #define STEP_LONG_US 1100
 
-/* Sends and finishes STEPS steps; every tenth fails.  */
+/* Sends and finishes STEPS steps, of which every tenth fails.  DATA is the
+   shared load.  */
 static gpointer
 run_steps (gpointer data)
 {
@@ -36,10 +37,10 @@
   return NULL;
 }
 
-/* Counters come back to zero and the average stays within what was seen,
-   whatever the order of the threads.  */
+/* With concurrent threads, no update of the counters is lost, and the average
+   stays within the observed durations.  */
 static void
-counters_are_exact_under_threads (void **state)
+concurrent_updates_keep_counters_exact (void **state)
 {
   (void)state;
   struct ld_load load = { 0 };
@@ -62,7 +63,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (counters_are_exact_under_threads),
+    cmocka_unit_test (concurrent_updates_keep_counters_exact),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
