--- a/src/core/load.c
+++ b/src/core/load.c
@@ -181,7 +181,7 @@
       return LD_OPEN;
     }
   return now_us < load->failed_at_us + backoff_us (failures) ? LD_CLOSED
-                                                             : LD_TRIAL;
+                                                             : LD_PROBATION;
 }
 
 /* Returns the silence bound, the response timeout of a step of one position,
--- a/src/core/load.h
+++ b/src/core/load.h
@@ -31,8 +31,8 @@
 enum ld_standing
 {
   LD_OPEN,
-  LD_TRIAL, /* one stream at a time, until the endpoint has recovered */
-  LD_CLOSED /* no new streams */
+  LD_PROBATION, /* one stream at a time, until the endpoint has recovered */
+  LD_CLOSED     /* no new streams */
 };
 
 void ld_stream_added (struct ld_load *load);
--- a/src/core/routing.c
+++ b/src/core/routing.c
@@ -158,7 +158,7 @@
     {
     case LD_OPEN:
       return true;
-    case LD_TRIAL:
+    case LD_PROBATION:
       return endpoint->load->streams == 0;
     case LD_CLOSED:
       break;
--- a/test/request_test.c
+++ b/test/request_test.c
@@ -13,7 +13,7 @@
 #define ENGINES 4
 #define DEADLINE_US INT64_C (60000000)
 
-/* Two engines for each half of the model. */
+/* A fleet with two engines for each half of the model. */
 struct fleet
 {
   struct cfg_config *config;
@@ -56,6 +56,7 @@
   };
 }
 
+/* Starts a request for MAX_TOKENS and sets ACTION to the first action.  */
 static struct req_machine *
 start (struct fleet *fleet, uint32_t max_tokens, struct req_action *action)
 {
@@ -71,7 +72,7 @@
   return machine;
 }
 
-/* Answers the step that ACTION asks for.  */
+/* Answers the step of ACTION and sets ACTION to the next one.  */
 static void
 answer_step (struct req_machine *machine, const struct snap *snap,
              uint32_t token, struct req_action *action)
@@ -88,6 +89,8 @@
   req_feed (machine, &event, snap, action);
 }
 
+/* Fails the step of ACTION with ERROR and sets ACTION to the next one.  ALIVE
+   tells whether the endpoint answers on another connection.  */
 static void
 fail_step (struct req_machine *machine, const struct snap *snap,
            enum err_kind error, bool alive, struct req_action *action)
@@ -132,34 +135,34 @@
   cfg_config_destroy (fleet.config);
 }
 
-/* What a failed step leads to. */
+/* A failed step, and whether it is sent again to the same endpoint. */
 struct failure_case
 {
   const char *name;
-  enum err_kind first;
-  bool alive;
-  bool asked_again; /* the same step on a new connection */
-  enum err_kind second;
+  enum err_kind first;  /* error of the step */
+  bool alive;           /* the endpoint answers on another connection */
+  bool repeated;        /* expected: the step is sent on a new connection */
+  enum err_kind second; /* error of the repeated step */
 };
 
 static const struct failure_case failure_cases[] = {
   { .name = "connection broke, step repeated",
     .first = ERR_ENDPOINT_FAILED,
     .alive = true,
-    .asked_again = true,
+    .repeated = true,
     .second = ERR_ENDPOINT_FAILED },
   { .name = "engine dead", .first = ERR_ENDPOINT_FAILED },
-  { .name = "engine silent to everybody", .first = ERR_ENDPOINT_SILENT },
+  { .name = "engine silent on all connections", .first = ERR_ENDPOINT_SILENT },
   { .name = "engine leaving", .first = ERR_ENDPOINT_REFUSED },
   { .name = "engine lost the stream", .first = ERR_OUT_OF_ORDER },
   { .name = "engine full", .first = ERR_NO_CAPACITY },
-  { .name = "answer not understood", .first = ERR_PROTOCOL },
+  { .name = "invalid answer", .first = ERR_PROTOCOL },
 };
 
-/* After a failure the stream goes on from the last token delivered, over
-   another engine, with a higher attempt.  */
+/* After a failure the stream continues after the last delivered token, as a
+   new attempt over another engine.  */
 static void
-moves_to_another_chain (void **state)
+failure_moves_stream_to_another_chain (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (failure_cases); i++)
@@ -174,7 +177,7 @@
       assert_true (action.emit);
       struct ld_load *failed = req_stage (machine, 0)->load;
       fail_step (machine, &fleet.snap, row->first, row->alive, &action);
-      if (row->asked_again)
+      if (row->repeated)
         {
           assert_int_equal (action.kind, REQ_ACTION_SEND_STEP);
           assert_true (action.new_connection);
@@ -197,17 +200,18 @@
     }
 }
 
-/* A step that a slow engine leaves unanswered is asked again there, since a
-   move would run every position a second time; but not for ever.  */
+/* A step that a slow engine doesn't answer in time is sent to that engine
+   again, since another engine would have to run all positions again.  The
+   number of repeats is limited.  */
 static void
-stays_with_a_slow_engine (void **state)
+step_is_repeated_at_a_slow_engine (void **state)
 {
   (void)state;
   struct fleet fleet;
   struct req_action action;
   fleet_init (&fleet);
   struct req_machine *machine = start (&fleet, 5, &action);
-  uint32_t asked = 0;
+  uint32_t timeouts = 0;
   while (action.attempt == 1)
     {
       struct req_event silent = {
@@ -221,39 +225,39 @@
         .retry_allowed = true,
       };
       req_feed (machine, &silent, &fleet.snap, &action);
-      asked++;
+      timeouts++;
     }
-  assert_in_range (asked, 4, 20);
+  assert_in_range (timeouts, 4, 20);
   assert_int_equal (action.step, 0);
   req_destroy (machine);
   cfg_config_destroy (fleet.config);
 }
 
-/* An answer of an earlier attempt, step or stage changes nothing.  */
+/* Answers to an earlier attempt are ignored.  */
 static void
-drops_late_answers (void **state)
+ignores_outdated_answers (void **state)
 {
   (void)state;
   struct fleet fleet;
   struct req_action action;
-  struct req_action late;
+  struct req_action outdated;
   fleet_init (&fleet);
   struct req_machine *machine = start (&fleet, 5, &action);
   struct req_action first = action;
   fail_step (machine, &fleet.snap, ERR_ENDPOINT_REFUSED, false, &action);
   assert_int_equal (action.attempt, 2);
-  late = first;
-  answer_step (machine, &fleet.snap, 7, &late);
-  assert_int_equal (late.kind, REQ_ACTION_NONE);
-  assert_false (late.emit);
+  outdated = first;
+  answer_step (machine, &fleet.snap, 7, &outdated);
+  assert_int_equal (outdated.kind, REQ_ACTION_NONE);
+  assert_false (outdated.emit);
   answer_step (machine, &fleet.snap, 7, &action);
   assert_int_equal (action.stage, 1);
   req_destroy (machine);
   cfg_config_destroy (fleet.config);
 }
 
-/* Without a chain, a request that has no token is answered at once; one that
-   has waits for capacity, but not for ever.  */
+/* Without a chain, a request that hasn't delivered a token fails at once.  One
+   that has waits for capacity, for a limited time.  */
 static void
 waits_for_capacity_only_with_tokens (void **state)
 {
@@ -290,15 +294,16 @@
 }
 
 static void
-ends_when_the_caller_has_gone (void **state)
+finishes_when_the_caller_disconnects (void **state)
 {
   (void)state;
   struct fleet fleet;
   struct req_action action;
   fleet_init (&fleet);
   struct req_machine *machine = start (&fleet, 5, &action);
-  struct req_event gone = { .kind = REQ_EVENT_CALLER_GONE, .now_us = 2 };
-  req_feed (machine, &gone, &fleet.snap, &action);
+  struct req_event disconnected
+      = { .kind = REQ_EVENT_CALLER_GONE, .now_us = 2 };
+  req_feed (machine, &disconnected, &fleet.snap, &action);
   assert_int_equal (action.kind, REQ_ACTION_FINISH);
   assert_int_equal (action.error, ERR_CALLER_GONE);
   assert_int_equal (action.cancelled_count, 2);
@@ -311,11 +316,11 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (runs_each_stage_once_for_each_token),
-    cmocka_unit_test (moves_to_another_chain),
-    cmocka_unit_test (stays_with_a_slow_engine),
-    cmocka_unit_test (drops_late_answers),
+    cmocka_unit_test (failure_moves_stream_to_another_chain),
+    cmocka_unit_test (step_is_repeated_at_a_slow_engine),
+    cmocka_unit_test (ignores_outdated_answers),
     cmocka_unit_test (waits_for_capacity_only_with_tokens),
-    cmocka_unit_test (ends_when_the_caller_has_gone),
+    cmocka_unit_test (finishes_when_the_caller_disconnects),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/routing_test.c
+++ b/test/routing_test.c
@@ -66,31 +66,35 @@
   return rt_choose_chain (&fleet->snap, &query, chain);
 }
 
+/* Layer ranges that engines hold, one each, and the expected chain. */
 struct cover_case
 {
   const char *name;
   uint32_t ranges[5][2];
   enum err_kind error;
-  uint32_t length;
+  uint32_t length; /* of the chain, in stages */
 };
 
 static const struct cover_case cover_cases[] = {
-  { "one engine holds all", { { 0, 24 } }, ERR_NONE, 1 },
+  { "one engine holds all layers", { { 0, 24 } }, ERR_NONE, 1 },
   { "three in order", { { 0, 8 }, { 8, 16 }, { 16, 24 } }, ERR_NONE, 3 },
-  { "three listed backwards",
+  { "three in reverse order",
     { { 16, 24 }, { 8, 16 }, { 0, 8 } },
     ERR_NONE,
     3 },
-  { "boundaries that differ",
+  { "different boundaries",
     { { 0, 10 }, { 8, 24 }, { 0, 8 }, { 16, 24 } },
     ERR_NONE,
     2 },
   { "a gap in the middle", { { 0, 8 }, { 9, 24 } }, ERR_NO_CAPACITY, 0 },
-  { "the end is missing", { { 0, 8 }, { 8, 23 } }, ERR_NO_CAPACITY, 0 },
-  { "the start is missing", { { 1, 24 } }, ERR_NO_CAPACITY, 0 },
-  { "an overlap is no chain", { { 0, 16 }, { 8, 24 } }, ERR_NO_CAPACITY, 0 },
+  { "the last layer is missing", { { 0, 8 }, { 8, 23 } }, ERR_NO_CAPACITY, 0 },
+  { "the first layer is missing", { { 1, 24 } }, ERR_NO_CAPACITY, 0 },
+  { "overlapping ranges are no chain",
+    { { 0, 16 }, { 8, 24 } },
+    ERR_NO_CAPACITY,
+    0 },
   { "a range beyond the model", { { 0, 25 } }, ERR_NO_CAPACITY, 0 },
-  { "nothing at all", { { 0, 0 } }, ERR_NO_CAPACITY, 0 },
+  { "no ranges", { { 0, 0 } }, ERR_NO_CAPACITY, 0 },
 };
 
 /* Every chain covers each layer once, in order.  */
@@ -133,50 +137,56 @@
                     ERR_NOT_FOUND);
 }
 
-enum trouble
+/* Condition of the engine under test. */
+enum condition
 {
-  TROUBLE_NONE,
-  TROUBLE_TAKES_NO_WORK,
-  TROUBLE_REFUSING,
-  TROUBLE_JUST_FAILED,
-  TROUBLE_TRIAL_UNDER_WAY,
-  TROUBLE_TRIAL_FREE,
-  TROUBLE_PROVED,
-  TROUBLE_EXCLUDED,
-  TROUBLE_SLOW,
-  TROUBLE_BUSY,
-  TROUBLE_REPORTED_BUSY,
-  TROUBLE_FAR,
-  TROUBLE_THIN_LINK
+  CONDITION_NORMAL,
+  CONDITION_TAKES_NO_WORK,
+  CONDITION_REFUSING,
+  CONDITION_BACKOFF,
+  CONDITION_PROBATION_BUSY,
+  CONDITION_PROBATION_IDLE,
+  CONDITION_RECOVERED,
+  CONDITION_EXCLUDED,
+  CONDITION_SLOW,
+  CONDITION_BUSY,
+  CONDITION_REPORTED_BUSY,
+  CONDITION_LONG_DELAY,
+  CONDITION_LOW_BANDWIDTH
 };
 
-struct trouble_case
+/* A condition, and the share of the choices that the engine is expected to
+   get. */
+struct condition_case
 {
   const char *name;
-  enum trouble trouble;
-  bool alone;    /* no second engine to choose */
-  int share_min; /* of 100 choices that go to the troubled engine */
+  enum condition condition;
+  bool alone;    /* there is no second engine to choose */
+  int share_min; /* choices, of 100, of the engine under test */
   int share_max;
 };
 
-static const struct trouble_case trouble_cases[] = {
-  { "equal engines share", TROUBLE_NONE, false, 30, 70 },
-  { "takes no work", TROUBLE_TAKES_NO_WORK, true, 0, 0 },
-  { "refuses new streams", TROUBLE_REFUSING, true, 0, 0 },
-  { "in backoff", TROUBLE_JUST_FAILED, true, 0, 0 },
-  { "excluded by the query", TROUBLE_EXCLUDED, true, 0, 0 },
-  { "one trial at a time", TROUBLE_TRIAL_UNDER_WAY, true, 0, 0 },
-  { "trial after the backoff", TROUBLE_TRIAL_FREE, true, 100, 100 },
-  { "share is back after proof", TROUBLE_PROVED, false, 30, 70 },
-  { "slow host loses its share", TROUBLE_SLOW, false, 0, 0 },
-  { "slow host is better than none", TROUBLE_SLOW, true, 100, 100 },
-  { "own streams weigh", TROUBLE_BUSY, false, 0, 0 },
-  { "others' steps weigh", TROUBLE_REPORTED_BUSY, false, 0, 0 },
-  { "distance weighs", TROUBLE_FAR, false, 0, 0 },
-  { "bandwidth weighs", TROUBLE_THIN_LINK, false, 0, 0 },
+static const struct condition_case condition_cases[] = {
+  { "equal engines share the choices", CONDITION_NORMAL, false, 30, 70 },
+  { "takes no work", CONDITION_TAKES_NO_WORK, true, 0, 0 },
+  { "refuses new streams", CONDITION_REFUSING, true, 0, 0 },
+  { "in backoff", CONDITION_BACKOFF, true, 0, 0 },
+  { "excluded by the query", CONDITION_EXCLUDED, true, 0, 0 },
+  { "only one stream at a time on probation", CONDITION_PROBATION_BUSY, true,
+    0, 0 },
+  { "one stream after the backoff", CONDITION_PROBATION_IDLE, true, 100, 100 },
+  { "full share after recovery", CONDITION_RECOVERED, false, 30, 70 },
+  { "a slow engine gets no share", CONDITION_SLOW, false, 0, 0 },
+  { "a slow engine is used if there is no other", CONDITION_SLOW, true, 100,
+    100 },
+  { "streams of this daemon count", CONDITION_BUSY, false, 0, 0 },
+  { "reported steps of other daemons count", CONDITION_REPORTED_BUSY, false, 0,
+    0 },
+  { "link delay counts", CONDITION_LONG_DELAY, false, 0, 0 },
+  { "link bandwidth counts", CONDITION_LOW_BANDWIDTH, false, 0, 0 },
 };
 
-/* Fails an endpoint once, BEFORE_US before now.  */
+/* Records a failed step, BEFORE_US before NOW_US.  */
 static void
 fail_once (struct ld_load *load, int64_t before_us)
 {
@@ -184,6 +194,7 @@
   ld_step_failed (load, NOW_US - before_us);
 }
 
+/* Records COUNT steps that were answered after STEP_US.  */
 static void
 answer_steps (struct ld_load *load, int count, int64_t step_us)
 {
@@ -194,84 +205,86 @@
     }
 }
 
+/* Puts endpoint INDEX into the condition CONDITION.  */
 static void
-make_trouble (struct fleet *fleet, uint32_t index, enum trouble trouble)
+set_condition (struct fleet *fleet, uint32_t index, enum condition condition)
 {
   struct snap_endpoint *endpoint = &fleet->endpoints[index];
   struct ld_load *load = endpoint->load;
-  switch (trouble)
+  switch (condition)
     {
-    case TROUBLE_NONE:
-    case TROUBLE_EXCLUDED:
+    case CONDITION_NORMAL:
+    case CONDITION_EXCLUDED:
       return;
-    case TROUBLE_TAKES_NO_WORK:
+    case CONDITION_TAKES_NO_WORK:
       endpoint->takes_work = false;
       return;
-    case TROUBLE_REFUSING:
+    case CONDITION_REFUSING:
       ld_set_refusing (load, true);
       return;
-    case TROUBLE_JUST_FAILED:
+    case CONDITION_BACKOFF:
       fail_once (load, CLK_MS_US);
       return;
-    case TROUBLE_TRIAL_UNDER_WAY:
+    case CONDITION_PROBATION_BUSY:
       fail_once (load, CLK_S_US);
       ld_stream_added (load);
       return;
-    case TROUBLE_TRIAL_FREE:
+    case CONDITION_PROBATION_IDLE:
       fail_once (load, CLK_S_US);
       return;
-    case TROUBLE_PROVED:
+    case CONDITION_RECOVERED:
       fail_once (load, CLK_S_US);
       answer_steps (load, 8, 1000);
       return;
-    case TROUBLE_SLOW:
+    case CONDITION_SLOW:
       answer_steps (load, 50, 20000);
       return;
-    case TROUBLE_BUSY:
+    case CONDITION_BUSY:
       load->streams = 8;
       return;
-    case TROUBLE_REPORTED_BUSY:
+    case CONDITION_REPORTED_BUSY:
       ld_report (load, 4, 4, false, NOW_US - 100 * CLK_MS_US);
       return;
-    case TROUBLE_FAR:
+    case CONDITION_LONG_DELAY:
       endpoint->link_delay_us = 50000;
       return;
-    case TROUBLE_THIN_LINK:
+    case CONDITION_LOW_BANDWIDTH:
       endpoint->link_bytes_per_s = 1000000;
       return;
     }
 }
 
-/* Each kind of trouble takes the share that it should from an engine, of a
+/* For each condition, the engine under test gets the expected share of a
    hundred choices with different seeds.  */
 static void
-troubled_engine_gets_its_due_share (void **state)
+condition_determines_share_of_choices (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof trouble_cases / sizeof trouble_cases[0]; i++)
+  for (size_t i = 0; i < sizeof condition_cases / sizeof condition_cases[0];
+       i++)
     {
-      const struct trouble_case *row = &trouble_cases[i];
+      const struct condition_case *row = &condition_cases[i];
       struct fleet fleet;
       start_fleet (&fleet);
-      uint32_t troubled = add_engine (&fleet, 0, LAYERS);
+      uint32_t tested = add_engine (&fleet, 0, LAYERS);
       if (!row->alone)
         {
           add_engine (&fleet, 0, LAYERS);
         }
-      make_trouble (&fleet, troubled, row->trouble);
+      set_condition (&fleet, tested, row->condition);
       int chosen = 0;
       for (uint64_t seed = 0; seed < 100; seed++)
         {
           struct rt_query query
               = { .positions = 1, .seed = seed, .now_us = NOW_US };
-          if (row->trouble == TROUBLE_EXCLUDED)
+          if (row->condition == CONDITION_EXCLUDED)
             {
-              query.excluded[0] = troubled;
+              query.excluded[0] = tested;
               query.excluded_count = 1;
             }
           struct rt_chain chain;
           enum err_kind error = rt_choose_chain (&fleet.snap, &query, &chain);
-          chosen += error == ERR_NONE && chain.stages[0].endpoint == troubled;
+          chosen += error == ERR_NONE && chain.stages[0].endpoint == tested;
         }
       print_message ("row: %s (%d)\n", row->name, chosen);
       assert_in_range (chosen, row->share_min, row->share_max);
@@ -302,9 +315,10 @@
     }
 }
 
-/* Fifty failures of one death back off as one failure does.  */
+/* Many failures of streams over one dead endpoint start the same backoff as a
+   single failure.  */
 static void
-failures_of_one_death_count_once (void **state)
+simultaneous_failures_count_once (void **state)
 {
   (void)state;
   struct ld_load load = { 0 };
@@ -319,22 +333,26 @@
   assert_int_equal (load.steps_in_flight, 0);
   assert_int_equal (load.failures, 1);
   assert_int_equal (ld_standing (&load, NOW_US + 100 * CLK_MS_US), LD_CLOSED);
-  assert_int_equal (ld_standing (&load, NOW_US + CLK_S_US), LD_TRIAL);
+  assert_int_equal (ld_standing (&load, NOW_US + CLK_S_US), LD_PROBATION);
 }
 
+/* Observed step times, and the expected range of the silence bound. */
 struct silence_case
 {
   const char *name;
   int64_t steps_us[4];
-  int64_t low_us;
-  int64_t high_us;
+  int64_t min_us;
+  int64_t max_us;
 };
 
 static const struct silence_case silence_cases[] = {
   { "nothing observed", { 0 }, CLK_S_US, CLK_S_US },
-  { "fast steps: the floor", { 900, 1000, 1100 }, 250000, 250000 },
-  { "slow and steady", { 200000, 200000, 200000 }, 250001, 999999 },
-  { "slow: the ceiling", { 5000000, 5000000 }, CLK_S_US, CLK_S_US },
+  { "fast steps: the minimum", { 900, 1000, 1100 }, 250000, 250000 },
+  { "slow steps with little deviation",
+    { 200000, 200000, 200000 },
+    250001,
+    999999 },
+  { "slow steps: the maximum", { 5000000, 5000000 }, CLK_S_US, CLK_S_US },
 };
 
 static void
@@ -351,14 +369,14 @@
           ld_step_done (&load, row->steps_us[j], NOW_US + j);
         }
       print_message ("row: %s\n", row->name);
-      assert_in_range (ld_silence_bound_us (&load), row->low_us, row->high_us);
+      assert_in_range (ld_silence_bound_us (&load), row->min_us, row->max_us);
     }
 }
 
-/* The first step, of many positions, proves the endpoint alive but does not
-   count as an observation.  */
+/* The answer to a first step, of many positions, shows that the endpoint is
+   alive, but isn't included in the observed step time.  */
 static void
-prefill_is_no_observation (void **state)
+prefill_is_not_an_observation (void **state)
 {
   (void)state;
   struct ld_load load = { 0 };
@@ -377,11 +395,11 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (chain_covers_every_layer_in_order),
     cmocka_unit_test (unknown_model_is_not_found),
-    cmocka_unit_test (troubled_engine_gets_its_due_share),
+    cmocka_unit_test (condition_determines_share_of_choices),
     cmocka_unit_test (choice_is_deterministic),
-    cmocka_unit_test (failures_of_one_death_count_once),
+    cmocka_unit_test (simultaneous_failures_count_once),
     cmocka_unit_test (silence_bound_follows_observed_steps),
-    cmocka_unit_test (prefill_is_no_observation),
+    cmocka_unit_test (prefill_is_not_an_observation),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
