--- a/src/core/account_limit.c
+++ b/src/core/account_limit.c
@@ -214,10 +214,10 @@
 acc_observe_length (struct acc_account *account, uint32_t allowed,
                     uint32_t tokens)
 {
-  double share = MIN ((double)tokens / MAX (allowed, 1), 1.0);
+  double ratio = MIN ((double)tokens / MAX (allowed, 1), 1.0);
   account->ratio_samples = MIN (account->ratio_samples + 1, RATIO_SAMPLES_MAX);
   account->generated_ratio
-      += (share - account->generated_ratio) / account->ratio_samples;
+      += (ratio - account->generated_ratio) / account->ratio_samples;
 }
 
 /* Lowers the length estimate after a refusal that was based on the estimate
--- a/src/core/account_limit.h
+++ b/src/core/account_limit.h
@@ -8,6 +8,7 @@
 #include "core/admission.h"
 #include "core/bucket.h"
 
+/* State of one account. */
 struct acc_account
 {
   struct cfg_account limits; /* for the whole fleet */
@@ -20,10 +21,10 @@
   uint32_t ratio_samples;    /* streams that `generated_ratio' covers */
   uint32_t fleet_streams;    /* open on all daemons, as last reported */
   uint32_t local_streams_at_report; /* `streams' at the time of that report */
-  struct bkt_bucket requests;
-  struct bkt_bucket tokens;
-  struct bkt_bucket retries;
-  struct bkt_bucket hedges;
+  struct bkt_bucket requests;       /* rate limit of requests */
+  struct bkt_bucket tokens;         /* rate limit of tokens */
+  struct bkt_bucket retries;        /* retry budget */
+  struct bkt_bucket hedges;         /* hedge budget */
   struct adm_demand demand; /* only the rates, which decay exponentially */
   int64_t demand_at_us;     /* monotonic time that `demand' is valid for */
 };
--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -9,7 +9,7 @@
 
 /* Target for the time between tokens when no account sets an objective. */
 #define DEFAULT_BETWEEN_TOKENS_TARGET_US (39 * CLK_MS_US)
-/* Longest wait before a retry that a caller is told. */
+/* Upper limit of a refusal's `retry_after_s'. */
 #define RETRY_AFTER_MAX_S 60
 /* Fraction of the capacity that the recovery profile keeps free, so that the
    capacity left after a fault can carry the running streams. */
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -45,7 +45,7 @@
 struct att_verdict
 {
   enum att_next next;
-  bool needs_budget; /* ATT_RETRY, ATT_RESUME: must be taken from the budget */
+  bool needs_budget; /* ATT_RETRY, ATT_RESUME: only if the budget allows it */
   uint32_t status;   /* ATT_ANSWER: HTTP status code */
 };
 
--- a/src/core/concurrency.c
+++ b/src/core/concurrency.c
@@ -70,6 +70,7 @@
   return streams * LITTLES_LAW_FACTOR_MAX;
 }
 
+/* Keeps the limit between lower_bound and upper_bound.  */
 static void
 clamp_streams (struct con_limit *limit)
 {
--- a/src/core/evidence.h
+++ b/src/core/evidence.h
@@ -10,6 +10,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* State of the circuit breaker. */
 enum evd_state
 {
   EVD_HEALTHY, /* gets requests without limit */
--- a/src/core/load.h
+++ b/src/core/load.h
@@ -1,7 +1,7 @@
 /* Load and health of one endpoint as known to one daemon.  The fields are
    atomic, since the traffic threads and the control thread share them, and
-   outlive routing snapshots.  A step is one request to the endpoint within a
-   stream. */
+   outlive routing snapshots.  In a step, the endpoint runs one or more
+   positions of a stream. */
 #ifndef CORE_LOAD_H
 #define CORE_LOAD_H
 
--- a/src/core/request.c
+++ b/src/core/request.c
@@ -246,6 +246,8 @@
          && event->stage == machine->stage && machine->chain_length > 0;
 }
 
+/* Sends the step on to the next stage.  After the last stage, emits the token
+   and begins the next step, or finishes the request.  */
 static void
 step_done (struct req_machine *machine, const struct req_event *event,
            struct req_action *action)
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -1,7 +1,7 @@
 /* State machine of one request for a draft.  It generates the draft token by
    token over a chain of engines, and moves the stream to another chain after a
-   failure.  It does no I/O: the code that drives it performs each action
-   and passes the result in as the next event. */
+   failure.  It does no I/O: the code that drives it performs each action and
+   passes the result in as the next event. */
 #ifndef CORE_REQUEST_H
 #define CORE_REQUEST_H
 
@@ -22,6 +22,7 @@
   uint32_t end;
 };
 
+/* Events that the state machine processes. */
 enum req_event_kind
 {
   REQ_EVENT_START,
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -25,8 +25,8 @@
   double slack_share; /* this daemon's fraction of the slack, 0 to 1 */
   bool share_known;   /* `slack_share' has been set */
   double min_shares[RBG_SLOTS]; /* lowest `slack_share' in each slot */
-  uint32_t requests[RBG_SLOTS];
-  uint32_t repeats[RBG_SLOTS];
+  uint32_t requests[RBG_SLOTS]; /* counted in each slot */
+  uint32_t repeats[RBG_SLOTS];  /* taken in each slot */
   int64_t slot; /* newest slot, counted from the start of the clock */
 };
 
--- a/test/admission_test.c
+++ b/test/admission_test.c
@@ -125,7 +125,7 @@
     }
 }
 
-/* A caller that retries after the wait it was told is admitted.  */
+/* A caller that retries after `retry_after_s' is admitted.  */
 static void
 retry_after_the_given_wait_is_admitted (void **state)
 {
