--- a/src/core/config.c
+++ b/src/core/config.c
@@ -3,18 +3,22 @@
 #include <glib.h>
 #include <stdatomic.h>
 
-#define DEFAULT_KEY_LIFETIME_S 86400
+#define DEFAULT_KEY_LIFETIME_S 86400 /* 24 h */
 #define DEFAULT_QUEUE_LENGTH 256
 #define DEFAULT_DEADLINE_MS 60000
 #define DEFAULT_MAX_TOKENS 1024
 #define DEFAULT_PROMPT_BYTES 65536
 
+/* Assumed inside a data centre when the configuration lists no link. */
 #define LOCAL_DELAY_US 50
 #define LOCAL_BYTES_PER_S UINT64_C (1250000000)
+
+/* Assumed between two data centres when the configuration lists no link. */
 #define UNLISTED_DELAY_US 200000
 #define UNLISTED_BYTES_PER_S UINT64_C (1250000)
 
-/* Returns an empty configuration, version 0, with the default rules.  */
+/* Returns an empty configuration of version 0 with the default rules.  The
+   caller holds the only reference.  */
 struct cfg_config *
 cfg_config_create (void)
 {
@@ -32,7 +36,7 @@
   return config;
 }
 
-/* Takes one more reference to CONFIG.  Thread-safe.  */
+/* Adds a reference to CONFIG and returns CONFIG.  Thread-safe.  */
 struct cfg_config *
 cfg_config_ref (struct cfg_config *config)
 {
@@ -62,8 +66,9 @@
   g_free (config);
 }
 
-/* Returns the link between two data centres, given by index, or NULL when none
-   is listed.  Inside one data centre none needs to be.  */
+/* Returns the configured link from data centre FROM to data centre TO, both
+   indices, or NULL when there is none.  A link from a data centre to itself is
+   optional.  */
 const struct cfg_link *
 cfg_link_between (const struct cfg_config *config, uint32_t from, uint32_t to)
 {
@@ -78,11 +83,12 @@
   return NULL;
 }
 
-/* Returns the way from data centre FROM to data centre TO, given by index: the
-   link that is listed, or a local one inside a data centre.  A pair that is
-   not listed counts as the slowest of networks, so that a link that an
-   operator forgot draws no work.  When FROM is CFG_NO_INDEX all data centres
-   count as local.  */
+/* Returns the delay and bandwidth from data centre FROM to data centre TO,
+   both indices: those of the configured link, else local defaults when FROM
+   equals TO.  Two data centres without a configured link get the slow
+   UNLISTED_* values, so that a link missing from the configuration attracts no
+   work. When FROM is CFG_NO_INDEX every data centre without a configured link
+   counts as local.  */
 struct cfg_link
 cfg_path_between (const struct cfg_config *config, uint32_t from, uint32_t to)
 {
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -1,5 +1,7 @@
-/* The fleet's configuration, as kept in the log: accounts, models, inventory,
-   services and rules.  Immutable once built; src/config parses it. */
+/* The fleet's configuration, as stored in the platform's log: accounts,
+   models, data centres and links, hosts, services and rules.  It is
+   reference-counted and immutable once built; src/config parses it from YAML.
+ */
 #ifndef CORE_CONFIG_H
 #define CORE_CONFIG_H
 
@@ -8,8 +10,8 @@
 
 #define CFG_NAME_BYTES 64
 #define CFG_ADDRESS_BYTES 64
-#define CFG_SHA256_HEX_BYTES 65
-#define CFG_NO_INDEX UINT32_MAX
+#define CFG_SHA256_HEX_BYTES 65 /* with the terminating NUL */
+#define CFG_NO_INDEX UINT32_MAX /* no data centre, or no service */
 
 enum cfg_profile
 {
@@ -23,26 +25,27 @@
   CFG_HOST_SERVICE
 };
 
-/* Whether the system itself decides which engine holds which layers. */
+/* Whether the system assigns model layers to engines. */
 enum cfg_placement
 {
   CFG_PLACEMENT_AUTOMATIC,
-  CFG_PLACEMENT_FIXED /* engines keep what they were started with */
+  CFG_PLACEMENT_FIXED /* engines keep the layers that they started with */
 };
 
-/* Whether an engine refuses an order with an old fencing number. */
+/* Whether an engine rejects orders with an outdated fencing token. */
 enum cfg_fencing
 {
   CFG_FENCING_CHECKED,
   CFG_FENCING_IGNORED
 };
 
+/* Service-level objective of an account. */
 struct cfg_objective
 {
-  double availability;       /* fraction of requests answered, e.g. 0.999 */
-  int64_t first_token_us;    /* bound for 95 in 100 */
-  int64_t between_tokens_us; /* bound for 95 in 100 */
-  int64_t settled_us;        /* bound for keyed calls, 95 in 100 */
+  double availability;       /* fraction of requests served, e.g. 0.999 */
+  int64_t first_token_us;    /* 95th percentile, time to first token */
+  int64_t between_tokens_us; /* 95th percentile, time between tokens */
+  int64_t settled_us;        /* 95th percentile, calls with a key */
 };
 
 struct cfg_account
@@ -51,8 +54,8 @@
   char token_sha256[CFG_SHA256_HEX_BYTES]; /* lower-case hexadecimal */
   uint32_t requests_per_s;
   uint32_t tokens_per_s;
-  uint32_t streams; /* open at one time over the whole fleet */
-  uint32_t weight;  /* share in fair queueing */
+  uint32_t streams; /* limit of concurrent streams in the whole fleet */
+  uint32_t weight;  /* relative share in fair queueing */
   struct cfg_objective objective;
 };
 
@@ -61,8 +64,8 @@
   char name[CFG_NAME_BYTES];
   uint32_t layers;
   uint32_t layer_memory_mib;
-  uint32_t activation_bytes; /* per position, between two layer ranges */
-  uint32_t demand_weight;    /* share of the fleet */
+  uint32_t activation_bytes; /* per token position, between two stages */
+  uint32_t demand_weight;    /* relative share of the fleet's capacity */
 };
 
 struct cfg_data_centre
@@ -71,10 +74,11 @@
   char region[CFG_NAME_BYTES];
 };
 
+/* A network link in one direction. */
 struct cfg_link
 {
-  uint32_t from; /* index of data centre */
-  uint32_t to;
+  uint32_t from;    /* index of the source data centre */
+  uint32_t to;      /* index of the destination data centre */
   int64_t delay_us; /* one way */
   uint64_t bytes_per_s;
 };
@@ -84,17 +88,17 @@
   char name[CFG_NAME_BYTES];
   char address[CFG_ADDRESS_BYTES]; /* IP:PORT */
   enum cfg_host_role role;
-  uint32_t data_centre;      /* index */
-  char kind[CFG_NAME_BYTES]; /* of accelerator; "" for services */
+  uint32_t data_centre;      /* index of its data centre */
+  char kind[CFG_NAME_BYTES]; /* accelerator model; "" for services */
   uint32_t accelerators;
-  uint32_t memory_mib;         /* of all accelerators together */
-  uint32_t layer_tokens_per_s; /* layers times tokens a second, measured */
+  uint32_t memory_mib;         /* total of all accelerators */
+  uint32_t layer_tokens_per_s; /* measured throughput, layers * tokens/s */
   enum cfg_fencing fencing;
   uint32_t service; /* index of the service; CFG_NO_INDEX for engines */
-  bool draining;    /* an operator's drain */
+  bool draining;    /* an operator drains the host */
 };
 
-/* A call of a plain service that may be repeated freely. */
+/* Calls to a plain service that may be retried without an idempotency key. */
 struct cfg_idempotent_call
 {
   char method[8];
@@ -112,9 +116,9 @@
 {
   enum cfg_profile profile;
   enum cfg_placement placement;
-  uint32_t spare_hosts; /* hosts that may go without loss of a layer */
-  uint32_t key_lifetime_s;
-  uint32_t queue_length; /* waiting requests of one daemon */
+  uint32_t spare_hosts;    /* hosts that may fail without losing a layer */
+  uint32_t key_lifetime_s; /* of idempotency keys */
+  uint32_t queue_length;   /* most requests queued at one daemon */
   uint32_t default_deadline_ms;
   uint32_t max_tokens;
   uint32_t prompt_bytes;
@@ -123,7 +127,7 @@
 struct cfg_config
 {
   _Atomic uint32_t references;
-  uint64_t version; /* 0: none; else 1 more than the base */
+  uint64_t version; /* base_version + 1; 0: no configuration */
   uint64_t base_version;
   struct cfg_account *accounts;
   uint32_t account_count;
@@ -131,7 +135,7 @@
   uint32_t model_count;
   struct cfg_data_centre *data_centres;
   uint32_t data_centre_count;
-  struct cfg_link *links; /* both directions are listed */
+  struct cfg_link *links; /* each direction has its own entry */
   uint32_t link_count;
   struct cfg_host *hosts;
   uint32_t host_count;
--- a/test/config_test.c
+++ b/test/config_test.c
@@ -24,12 +24,12 @@
 
 static const struct path_case path_cases[] = {
   { 0, 1, 500, 125000000 },  { 2, 1, 40000, 2500000 },
-  { 0, 0, 50, 1250000000 },  { 0, 2, 200000, 1250000 }, /* not listed */
+  { 0, 0, 50, 1250000000 },  { 0, 2, 200000, 1250000 }, /* no link */
   { 2, 0, 200000, 1250000 }, { CFG_NO_INDEX, 2, 50, 1250000000 },
 };
 
-/* A link that nobody listed is slower than every one that is, so that it draws
-   no work from them.  */
+/* Guards against routing work over a link that is missing from the
+   configuration: such a link must look slower than every configured one.  */
 static void
 paths_between_data_centres (void **state)
 {
