--- a/src/core/freshness.c
+++ b/src/core/freshness.c
@@ -1,12 +1,13 @@
 #include "core/freshness.h"
 
-/* For the difference of clock readings between threads and the way to the
-   endpoint. */
+/* Covers the difference between clock readings of different threads and the
+   network delay to the endpoint. */
 #define MARGIN_US 150000
 
-/* True when a request with a key may be served at NOW_US, the configuration
-   having been proved the newest at PROVED_US, on a clock that also counts
-   while the process is suspended.  */
+/* Returns true when requests with an API key may be served at NOW_US.
+   PROVED_US is when the configuration was last confirmed to be the newest.
+   Both times come from a clock that also advances while the process is
+   suspended.  */
 bool
 frs_serves_keys (const struct frs_params *params, int64_t proved_us,
                  int64_t now_us)
@@ -14,8 +15,10 @@
   return now_us - proved_us < params->revoke_us - MARGIN_US;
 }
 
-/* True when the configuration is new enough to deny a request by it: an older
-   one may lack a route or key that callers use already.  */
+/* Returns true when the configuration, last confirmed to be the newest at
+   PROVED_US, is recent enough at NOW_US to reject a request for an unknown
+   route or API key.  An older configuration may lack routes and keys that
+   callers already use.  */
 bool
 frs_may_deny (const struct frs_params *params, int64_t proved_us,
               int64_t now_us)
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -1,6 +1,8 @@
-/* Proof that the configuration in force is the newest.  Answers the load of
-   keys that are taken away while a daemon is cut off from the platform: it
-   stops serving keys in time, and begins again with the next proof. */
+/* Decides what a daemon may do with a configuration of a given age.  While a
+   daemon is partitioned from the platform, it can't learn that an API key was
+   revoked.  It therefore stops serving requests with API keys before the
+   revocation bound expires, and resumes once its configuration is confirmed
+   to be the newest again. */
 #ifndef CORE_FRESHNESS_H
 #define CORE_FRESHNESS_H
 
@@ -9,8 +11,8 @@
 
 struct frs_params
 {
-  int64_t revoke_us; /* a key may be served so long after it was taken away */
-  int64_t change_us; /* a configuration is in force everywhere after this */
+  int64_t revoke_us; /* a revoked API key is rejected after this time */
+  int64_t change_us; /* a configuration is applied everywhere after this */
 };
 
 bool frs_serves_keys (const struct frs_params *params, int64_t proved_us,
--- a/src/core/stopping.h
+++ b/src/core/stopping.h
@@ -1,15 +1,17 @@
-/* Which requests a stopping daemon still takes.  Answers the load of stops in
-   series, in which callers keep coming while few daemons are left: it takes
-   what it can finish before it is killed, and refuses the rest at once. */
+/* Admission control of a daemon that is shutting down.  During a rolling
+   restart, callers keep arriving while few daemons are left.  A daemon that is
+   shutting down accepts the requests that it can finish before it is killed,
+   and rejects the others at once. */
 #ifndef CORE_STOPPING_H
 #define CORE_STOPPING_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Requests that come until then are taken in any case: the balancer sends
-   callers until it has seen two refusals, one a second. */
-#define SPN_TAKE_ALL_US 2800000
+/* Requests that arrive within this time of the start of the shutdown are
+   always accepted: the load balancer keeps sending requests until two of its
+   readiness checks, one a second, have failed. */
+#define SPN_ACCEPT_ALL_US 2800000
 
 void spn_observe (double *peak_us, double run_us);
 bool spn_takes (int64_t age_us, int64_t stop_us, int64_t expected_us);
