--- a/src/core/leaving.c
+++ b/src/core/leaving.c
@@ -3,21 +3,22 @@
 #include <glib.h>
 #include <string.h>
 
+/* An endpoint and its newest mark of each cause. */
 struct host
 {
   struct lv_mark marks[LV_CAUSE_COUNT];
-  uint64_t incarnation;   /* newest that the endpoint reported; 0: none */
-  int64_t refused_at_us;  /* last refusal that this daemon saw or heard of */
-  int64_t own_refusal_us; /* last refusal that this daemon saw */
-  bool refused_here;      /* OWN_REFUSAL_US is set */
+  uint64_t incarnation;    /* newest one that the endpoint reported; 0: none */
+  int64_t last_refusal_us; /* last refusal, observed here or by a peer */
+  int64_t observed_refusal_us; /* last refusal, observed here */
+  bool refusal_observed;       /* and not withdrawn since */
 };
 
 struct lv_hosts
 {
-  GHashTable *hosts; /* name to struct host */
+  GHashTable *hosts; /* endpoint name to struct host; owned */
 };
 
-/* Creates an empty table: every endpoint takes work.  */
+/* Returns an empty table, in which every endpoint is open to new work.  */
 struct lv_hosts *
 lv_create (void)
 {
@@ -39,9 +40,10 @@
   g_free (hosts);
 }
 
-/* Whether MARK replaces THAN, a mark of the same endpoint and cause: a higher
-   order does, and at the same order "leaving" does.  Every daemon that has
-   heard the same marks therefore holds the same one.  */
+/* Returns whether MARK replaces THAN, a mark of the same endpoint and cause.
+   The mark with the higher order wins; at the same order "leaving" wins.  The
+   result doesn't depend on the sequence in which marks arrive, so daemons that
+   have received the same marks agree.  */
 bool
 lv_mark_is_newer (const struct lv_mark *mark, const struct lv_mark *than)
 {
@@ -71,6 +73,7 @@
   return host;
 }
 
+/* Returns whether no cause closes HOST to new work.  */
 static bool
 is_open (const struct host *host)
 {
@@ -84,72 +87,77 @@
   return true;
 }
 
-/* Puts MARK in force when it is newer.  The outcome tells the peers only when
-   the mark says something else than the one before it.  */
+/* Stores MARK when it is newer than the stored mark of its cause.  The outcome
+   asks to inform the peers only when "leaving" changed.  */
 static struct lv_outcome
-apply (struct host *host, const struct lv_mark *mark)
+apply_mark (struct host *host, const struct lv_mark *mark)
 {
-  struct lv_mark *held = &host->marks[mark->cause];
+  struct lv_mark *current = &host->marks[mark->cause];
   struct lv_outcome outcome = { .mark = *mark };
-  if (!lv_mark_is_newer (mark, held))
+  if (!lv_mark_is_newer (mark, current))
     {
       return outcome;
     }
   const bool was_open = is_open (host);
-  outcome.tell = mark->leaving != held->leaving;
-  *held = *mark;
+  outcome.tell = mark->leaving != current->leaving;
+  *current = *mark;
   outcome.changed = is_open (host) != was_open;
   return outcome;
 }
 
+/* Applies a report of CAUSE whose marks are ordered by VERSION.  */
 static struct lv_outcome
-versioned_sign (struct lv_hosts *hosts, const char *name, enum lv_cause cause,
-                uint64_t version, bool leaving)
+apply_versioned_report (struct lv_hosts *hosts, const char *name,
+                        enum lv_cause cause, uint64_t version, bool leaving)
 {
   struct host *host = find_or_add (hosts, name);
   struct lv_mark mark = host->marks[cause];
   mark.order = version;
   mark.leaving = leaving;
-  return apply (host, &mark);
+  return apply_mark (host, &mark);
 }
 
-/* Takes the word of the host list in LIST_VERSION.  An older version than one
-   seen before, here or by a peer, changes nothing.  */
+/* Applies what version LIST_VERSION of the platform's host list says about
+   HOST.  Versions older than one already applied, here or at a peer whose mark
+   arrived, are ignored.  */
 struct lv_outcome
 lv_list_says (struct lv_hosts *hosts, const char *host, uint64_t list_version,
               bool leaving)
 {
-  return versioned_sign (hosts, host, LV_LIST, list_version, leaving);
+  return apply_versioned_report (hosts, host, LV_LIST, list_version, leaving);
 }
 
-/* Takes the drain flag of the configuration CONFIG_VERSION.  */
+/* Applies the drain flag of HOST in the configuration CONFIG_VERSION.
+   Versions older than one already applied are ignored.  */
 struct lv_outcome
 lv_drain_says (struct lv_hosts *hosts, const char *host,
                uint64_t config_version, bool draining)
 {
-  return versioned_sign (hosts, host, LV_DRAIN, config_version, draining);
+  return apply_versioned_report (hosts, host, LV_DRAIN, config_version,
+                                 draining);
 }
 
-/* Whether a report of "not leaving" proves that the last refusal is over.  */
+/* Returns whether a report of "not leaving" from INCARNATION proves that the
+   last refusal is over.  */
 static bool
-withdraws_refusal (const struct host *host, uint64_t incarnation,
-                   int64_t now_us)
+refusal_is_over (const struct host *host, uint64_t incarnation, int64_t now_us)
 {
   const struct lv_mark *mark = &host->marks[LV_ENDPOINT];
   if (mark->incarnation != 0 && incarnation > mark->incarnation)
     {
       return true;
     }
-  return now_us - host->refused_at_us >= LV_HOLD_US;
+  return now_us - host->last_refusal_us >= LV_REFUSAL_HOLD_US;
 }
 
-/* Takes the endpoint's own word at NOW_US: LEAVING when it refused work as
-   leaving or reported that it leaves.  INCARNATION rises with each restart of
-   the endpoint; 0 when it reports none.  A positive report opens the endpoint
-   when it is of a newer incarnation than the one that refused, or when no
-   refusal was seen or heard of for LV_HOLD_US: reports lag, and an earlier one
-   may be older than the refusal.  A report of an older incarnation than one
-   seen changes nothing.  */
+/* Applies a report of the endpoint NAME itself, received at NOW_US.  LEAVING
+   is set when the endpoint refused work as leaving or reported that it leaves.
+   INCARNATION rises with each restart of the endpoint; 0 when it reports none.
+   A report of "not leaving" withdraws a refusal when it comes from a newer
+   incarnation than the refusal, or when no refusal was observed here or
+   reported by a peer for LV_REFUSAL_HOLD_US.  Until then, the report may be
+   older than the refusal, as reports lag.  Reports of an older incarnation
+   than the newest known one are ignored.  */
 struct lv_outcome
 lv_endpoint_says (struct lv_hosts *hosts, const char *name,
                   uint64_t incarnation, bool leaving, int64_t now_us)
@@ -163,25 +171,26 @@
   host->incarnation = MAX (host->incarnation, incarnation);
   if (leaving)
     {
-      host->refused_at_us = now_us;
-      host->own_refusal_us = now_us;
-      host->refused_here = true;
+      host->last_refusal_us = now_us;
+      host->observed_refusal_us = now_us;
+      host->refusal_observed = true;
     }
-  const bool opens = !leaving && withdraws_refusal (host, incarnation, now_us);
-  if (leaving == mark.leaving || (!leaving && !opens))
+  const bool reopens = !leaving && refusal_is_over (host, incarnation, now_us);
+  if (leaving == mark.leaving || (!leaving && !reopens))
     {
       return (struct lv_outcome){ .mark = mark };
     }
-  host->refused_here = leaving;
+  host->refusal_observed = leaving;
   mark.order += 1;
   mark.incarnation = incarnation;
   mark.leaving = leaving;
-  return apply (host, &mark);
+  return apply_mark (host, &mark);
 }
 
-/* Takes a peer's MARK at NOW_US.  A peer's "not leaving" doesn't withdraw a
-   refusal that this daemon itself saw within LV_HOLD_US: it is contradicted
-   by a newer mark, which the outcome carries.  */
+/* Applies MARK, received from a peer at NOW_US.  A peer's "not leaving"
+   doesn't withdraw a refusal that this daemon itself observed less than
+   LV_REFUSAL_HOLD_US ago.  Instead, a newer mark of "leaving" replaces the
+   peer's, and the outcome asks to send it to the peers.  */
 struct lv_outcome
 lv_peer_says (struct lv_hosts *hosts, const struct lv_mark *mark,
               int64_t now_us)
@@ -190,29 +199,31 @@
   const bool is_new = lv_mark_is_newer (mark, &host->marks[mark->cause]);
   if (mark->cause != LV_ENDPOINT || !is_new)
     {
-      struct lv_outcome outcome = apply (host, mark);
+      struct lv_outcome outcome = apply_mark (host, mark);
       outcome.tell = false;
       return outcome;
     }
   if (mark->leaving)
     {
-      host->refused_at_us = now_us;
+      host->last_refusal_us = now_us;
     }
-  else if (host->refused_here && now_us - host->own_refusal_us < LV_HOLD_US)
+  else if (host->refusal_observed
+           && now_us - host->observed_refusal_us < LV_REFUSAL_HOLD_US)
     {
-      struct lv_mark against = *mark;
-      against.order += 1;
-      against.leaving = true;
-      struct lv_outcome outcome = apply (host, &against);
+      struct lv_mark override = *mark;
+      override.order += 1;
+      override.leaving = true;
+      struct lv_outcome outcome = apply_mark (host, &override);
       outcome.tell = true;
       return outcome;
     }
-  struct lv_outcome outcome = apply (host, mark);
+  struct lv_outcome outcome = apply_mark (host, mark);
   outcome.tell = false;
   return outcome;
 }
 
-/* Whether the endpoint NAME may get new work; an unknown one may.  */
+/* Returns whether the endpoint NAME is open to new work.  An unknown endpoint
+   is.  */
 bool
 lv_takes_work (const struct lv_hosts *hosts, const char *name)
 {
@@ -220,7 +231,8 @@
   return host == NULL || is_open (host);
 }
 
-/* The causes that close the endpoint NAME, as bits 1 << enum lv_cause.  */
+/* Returns the causes that close the endpoint NAME to new work, as a bit mask
+   of 1 << enum lv_cause.  */
 uint32_t
 lv_causes (const struct lv_hosts *hosts, const char *name)
 {
@@ -233,10 +245,9 @@
   return causes;
 }
 
-/* Drops what is known of the endpoint NAME, which the configuration no longer
-   lists.  */
+/* Removes the endpoint NAME, which the configuration no longer lists.  */
 void
-lv_forget (struct lv_hosts *hosts, const char *name)
+lv_remove (struct lv_hosts *hosts, const char *name)
 {
   g_hash_table_remove (hosts->hosts, name);
 }
--- a/src/core/leaving.h
+++ b/src/core/leaving.h
@@ -1,6 +1,8 @@
-/* Which endpoints are leaving: the earliest sign of any cause closes an
-   endpoint to new work, a newer positive sign of the same cause withdraws it.
- */
+/* Tracks which endpoints are leaving the fleet.  There are three sources of
+   such reports, called causes.  A report of any one cause that an endpoint is
+   leaving closes the endpoint to new work.  The endpoint is open again once
+   newer reports have withdrawn every cause.  Daemons exchange the newest
+   report of each cause as a mark, so that all of them converge. */
 #ifndef CORE_LEAVING_H
 #define CORE_LEAVING_H
 
@@ -9,33 +11,36 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* An endpoint that once refused is open again when it has been saying so for
-   this long.  Longer than its load reports lag. */
-#define LV_HOLD_US INT64_C (10000000)
+/* After an endpoint refused work as leaving, reports of "not leaving" from the
+   same incarnation are ignored for this time.  It is longer than the lag of
+   load reports, so a report that counts is newer than the refusal. */
+#define LV_REFUSAL_HOLD_US INT64_C (10000000)
 
 enum lv_cause
 {
   LV_LIST,     /* the platform's host list */
   LV_DRAIN,    /* an operator's drain in the configuration */
-  LV_ENDPOINT, /* the endpoint's own refusal or load report */
+  LV_ENDPOINT, /* a refusal or load report of the endpoint */
   LV_CAUSE_COUNT
 };
 
-/* The newest word on one endpoint by one cause; sent between daemons. */
+/* Whether one endpoint is leaving according to one cause.  Of two marks of the
+   same endpoint and cause, the one with the higher ORDER is the newer one. */
 struct lv_mark
 {
-  uint64_t order; /* host list version, configuration version, or epoch */
-  uint64_t incarnation; /* of the endpoint, LV_ENDPOINT only; 0: unknown */
+  uint64_t order;       /* LV_LIST: host list version; LV_DRAIN: configuration
+                           version; LV_ENDPOINT: counts the changes */
+  uint64_t incarnation; /* of the endpoint; LV_ENDPOINT only; 0: unknown */
   enum lv_cause cause;
   char host[CFG_NAME_BYTES];
   bool leaving;
 };
 
-/* What a sign has changed. */
+/* Result of a report. */
 struct lv_outcome
 {
-  bool changed; /* the endpoint opened or closed */
-  bool tell;    /* MARK is to be told to the peers */
+  bool changed; /* the endpoint was opened or closed to new work */
+  bool tell;    /* MARK has to be sent to the peers */
   struct lv_mark mark;
 };
 
@@ -54,7 +59,7 @@
                                 const struct lv_mark *mark, int64_t now_us);
 bool lv_takes_work (const struct lv_hosts *hosts, const char *host);
 uint32_t lv_causes (const struct lv_hosts *hosts, const char *host);
-void lv_forget (struct lv_hosts *hosts, const char *host);
+void lv_remove (struct lv_hosts *hosts, const char *host);
 bool lv_mark_is_newer (const struct lv_mark *mark, const struct lv_mark *than);
 
 #endif
--- a/test/leaving_test.c
+++ b/test/leaving_test.c
@@ -9,11 +9,11 @@
 
 #define S_US INT64_C (1000000)
 #define HOST "runner-07"
-#define SIGNS_MAX 8
+#define REPORTS_MAX 8
 
 enum source
 {
-  END, /* of the list of signs */
+  END, /* end of the sequence */
   LIST,
   DRAIN,
   ENDPOINT,
@@ -22,39 +22,40 @@
   PEER_ENDPOINT
 };
 
-struct sign
+/* A report and the expected result. */
+struct report
 {
   enum source source;
   int64_t at_s;
-  uint64_t order; /* the incarnation, for ENDPOINT */
+  uint64_t order; /* ENDPOINT: the incarnation */
   bool leaving;
-  bool open;            /* afterwards */
-  bool tell;            /* the peers are told */
-  uint64_t incarnation; /* of a peer's mark */
+  bool open;            /* to new work, afterwards */
+  bool tell;            /* the mark is sent to the peers */
+  uint64_t incarnation; /* in a peer's mark */
 };
 
-struct row
+struct report_case
 {
   const char *name;
-  struct sign signs[SIGNS_MAX];
+  struct report reports[REPORTS_MAX];
 };
 
 static struct lv_outcome
-give (struct lv_hosts *hosts, const struct sign *sign)
+apply_report (struct lv_hosts *hosts, const struct report *report)
 {
-  const int64_t now_us = sign->at_s * S_US;
+  const int64_t now_us = report->at_s * S_US;
   struct lv_mark mark = { .host = HOST,
-                          .order = sign->order,
-                          .incarnation = sign->incarnation,
-                          .leaving = sign->leaving };
-  switch (sign->source)
+                          .order = report->order,
+                          .incarnation = report->incarnation,
+                          .leaving = report->leaving };
+  switch (report->source)
     {
     case LIST:
-      return lv_list_says (hosts, HOST, sign->order, sign->leaving);
+      return lv_list_says (hosts, HOST, report->order, report->leaving);
     case DRAIN:
-      return lv_drain_says (hosts, HOST, sign->order, sign->leaving);
+      return lv_drain_says (hosts, HOST, report->order, report->leaving);
     case ENDPOINT:
-      return lv_endpoint_says (hosts, HOST, sign->order, sign->leaving,
+      return lv_endpoint_says (hosts, HOST, report->order, report->leaving,
                                now_us);
     case PEER_DRAIN:
       mark.cause = LV_DRAIN;
@@ -69,62 +70,62 @@
   return lv_peer_says (hosts, &mark, now_us);
 }
 
-static const struct row rows[] = {
-  { "unknown takes work", { { LIST, 0, 1, false, true, false, 0 } } },
-  { "the list closes and opens",
+static const struct report_case report_cases[] = {
+  { "an unknown host takes work", { { LIST, 0, 1, false, true, false, 0 } } },
+  { "the host list closes and reopens",
     { { LIST, 0, 5, true, false, true, 0 },
       { LIST, 9, 6, false, true, true, 0 } } },
-  { "an older list changes nothing",
+  { "an older list version doesn't reopen",
     { { LIST, 0, 5, true, false, true, 0 },
       { LIST, 1, 4, false, false, false, 0 },
       { LIST, 2, 5, false, false, false, 0 } } },
-  { "an older list does not close",
+  { "an older list version doesn't close",
     { { LIST, 0, 5, false, true, false, 0 },
       { LIST, 1, 4, true, true, false, 0 } } },
-  { "the list does not reopen a drained host",
+  { "the host list doesn't reopen a drained host",
     { { DRAIN, 0, 2, true, false, true, 0 },
       { LIST, 1, 9, false, false, false, 0 },
       { DRAIN, 2, 3, false, true, true, 0 } } },
-  { "a flapping list does not reopen what the endpoint refused",
+  { "a flapping host list doesn't withdraw the endpoint's refusal",
     { { ENDPOINT, 0, 0, true, false, true, 0 },
       { LIST, 1, 5, true, false, true, 0 },
       { LIST, 2, 6, false, false, true, 0 },
       { LIST, 30, 7, false, false, false, 0 },
       { ENDPOINT, 31, 0, false, true, true, 0 } } },
-  { "a lagging report does not reopen",
+  { "a lagging load report doesn't reopen",
     { { ENDPOINT, 0, 0, true, false, true, 0 },
       { ENDPOINT, 1, 0, false, false, false, 0 },
       { ENDPOINT, 9, 0, false, false, false, 0 },
       { ENDPOINT, 10, 0, false, true, true, 0 } } },
-  { "each refusal starts the hold again",
+  { "each refusal restarts the hold time",
     { { ENDPOINT, 0, 0, true, false, true, 0 },
       { ENDPOINT, 8, 0, true, false, false, 0 },
       { ENDPOINT, 12, 0, false, false, false, 0 },
       { ENDPOINT, 18, 0, false, true, true, 0 } } },
-  { "a replaced host opens by its new incarnation",
+  { "a report from a new incarnation reopens a restarted host",
     { { ENDPOINT, 0, 41, true, false, true, 0 },
       { ENDPOINT, 1, 41, false, false, false, 0 },
       { ENDPOINT, 2, 42, false, true, true, 0 },
       { ENDPOINT, 3, 41, true, true, false, 0 } } },
-  { "a first incarnation proves nothing against a refusal without one",
+  { "an incarnation doesn't withdraw a refusal that had none",
     { { ENDPOINT, 0, 0, true, false, true, 0 },
       { ENDPOINT, 1, 7, false, false, false, 0 },
       { ENDPOINT, 11, 7, false, true, true, 0 } } },
-  { "a peer's word closes and is not told again",
+  { "a peer's list mark closes and isn't forwarded",
     { { PEER_LIST, 0, 5, true, false, false, 0 },
       { LIST, 1, 4, false, false, false, 0 },
       { LIST, 2, 5, true, false, false, 0 },
       { LIST, 3, 6, false, true, true, 0 } } },
-  { "a peer's drain holds until a newer configuration",
+  { "a peer's drain lasts until a newer configuration",
     { { PEER_DRAIN, 0, 8, true, false, false, 0 },
       { DRAIN, 1, 7, false, false, false, 0 },
       { DRAIN, 2, 8, true, false, false, 0 },
       { DRAIN, 3, 9, false, true, true, 0 } } },
-  { "a peer's refusal starts the hold here",
+  { "a refusal reported by a peer starts the hold time here",
     { { PEER_ENDPOINT, 0, 1, true, false, false, 0 },
       { ENDPOINT, 2, 0, false, false, false, 0 },
       { ENDPOINT, 10, 0, false, true, true, 0 } } },
-  { "a peer's refusal of a known process holds against its old reports",
+  { "a peer's refusal outlasts reports of the same incarnation",
     { { ENDPOINT, 0, 5, false, true, false, 0 },
       { PEER_ENDPOINT, 1, 1, true, false, false, 6 },
       { ENDPOINT, 2, 6, false, false, false, 0 },
@@ -133,7 +134,7 @@
     { { PEER_ENDPOINT, 0, 1, true, false, false, 0 },
       { PEER_ENDPOINT, 1, 2, false, true, false, 0 },
       { PEER_ENDPOINT, 2, 1, true, true, false, 0 } } },
-  { "a peer does not withdraw a refusal just seen here",
+  { "a peer doesn't withdraw a refusal just observed here",
     { { ENDPOINT, 0, 0, true, false, true, 0 },
       { PEER_ENDPOINT, 1, 2, false, false, true, 0 },
       { PEER_ENDPOINT, 12, 9, false, true, false, 0 } } },
@@ -151,34 +152,37 @@
 };
 
 static void
-signs_in_order (void **state)
+report_sequences (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
+  for (size_t i = 0; i < sizeof report_cases / sizeof report_cases[0]; i++)
     {
       struct lv_hosts *hosts = lv_create ();
       bool open = true;
-      for (const struct sign *sign = rows[i].signs;
-           sign < rows[i].signs + SIGNS_MAX && sign->source != END; sign++)
+      for (const struct report *report = report_cases[i].reports;
+           report < report_cases[i].reports + REPORTS_MAX
+           && report->source != END;
+           report++)
         {
-          const struct lv_outcome outcome = give (hosts, sign);
-          const bool right = lv_takes_work (hosts, HOST) == sign->open
-                             && outcome.tell == sign->tell
-                             && outcome.changed == (sign->open != open);
-          if (!right)
+          const struct lv_outcome outcome = apply_report (hosts, report);
+          const bool matches = lv_takes_work (hosts, HOST) == report->open
+                               && outcome.tell == report->tell
+                               && outcome.changed == (report->open != open);
+          if (!matches)
             {
-              fail_msg ("%s: sign %d", rows[i].name,
-                        (int)(sign - rows[i].signs));
+              fail_msg ("%s: report %d", report_cases[i].name,
+                        (int)(report - report_cases[i].reports));
             }
-          open = sign->open;
+          open = report->open;
         }
       lv_destroy (hosts);
     }
 }
 
-/* Two daemons that hear the same marks in any order hold the same. */
+/* Guards against daemons that disagree for ever: whatever the order in which
+   the same marks arrive, the result is the same.  */
 static void
-marks_commute (void **state)
+marks_are_commutative (void **state)
 {
   (void)state;
   const struct lv_mark marks[] = {
@@ -205,12 +209,12 @@
 }
 
 static void
-a_forgotten_host_takes_work (void **state)
+removed_host_takes_work (void **state)
 {
   (void)state;
   struct lv_hosts *hosts = lv_create ();
   lv_list_says (hosts, HOST, 3, true);
-  lv_forget (hosts, HOST);
+  lv_remove (hosts, HOST);
   assert_true (lv_takes_work (hosts, HOST));
   assert_int_equal (lv_causes (hosts, HOST), 0);
   lv_destroy (hosts);
@@ -220,9 +224,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (signs_in_order),
-    cmocka_unit_test (marks_commute),
-    cmocka_unit_test (a_forgotten_host_takes_work),
+    cmocka_unit_test (report_sequences),
+    cmocka_unit_test (marks_are_commutative),
+    cmocka_unit_test (removed_host_takes_work),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
