--- a/src/core/confstate.c
+++ b/src/core/confstate.c
@@ -1,21 +1,26 @@
 #include "core/confstate_private.h"
 
 #define S_US INT64_C (1000000)
-#define CARRIES_IN_RETENTION 4
-#define HISTORY_MAX 32
+#define CHECKPOINTS_PER_RETENTION 4
+#define HISTORY_MAX 32 /* versions */
+
+/* The daemon of rank N appends a checkpoint when it is overdue by N steps, of
+   which RANK_STEPS make up one checkpoint interval.  Ranks above RANK_MAX
+   count as RANK_MAX. */
 #define RANK_STEPS 16
-#define RANKS_MAX 15
+#define RANK_MAX 15
 
-/* Returns the usual parameters for a log that keeps records RETENTION_US.  */
+/* Returns the default parameters for a log that keeps records for
+   RETENTION_US.  The caller sets VALID and USER_DATA.  */
 struct cst_params
 cst_params_default (uint64_t incarnation, int64_t retention_us)
 {
   return (struct cst_params){
     .incarnation = incarnation,
-    .carry_us = retention_us / CARRIES_IN_RETENTION,
+    .checkpoint_interval_us = retention_us / CHECKPOINTS_PER_RETENTION,
     .log_stale_us = 3 * S_US,
-    .serve_bound_us = 10 * S_US,
-    .settle_wait_us = 2 * S_US,
+    .isolation_limit_us = 10 * S_US,
+    .read_back_timeout_us = 2 * S_US,
     .history_max = HISTORY_MAX,
   };
 }
@@ -29,14 +34,15 @@
   g_free (version);
 }
 
-/* Creates the machine.  It has no configuration until the log or a peer gives
-   one.  */
+/* Returns a state machine without a configuration.  It gets one from the log
+   or from a peer.  Copies PARAMS.  */
 struct cst *
 cst_create (const struct cst_params *params)
 {
   struct cst *cst = g_new0 (struct cst, 1);
   cst->params = *params;
-  cst->withdrawn = g_array_new (FALSE, FALSE, sizeof (struct cst_nonce));
+  cst->withdrawn
+      = g_array_new (FALSE, FALSE, sizeof (struct cst_publication_id));
   cst->history = g_ptr_array_new_with_free_func (destroy_version);
   cst->publications = g_ptr_array_new_with_free_func (g_free);
   cst->daemons = 1;
@@ -60,7 +66,8 @@
   g_free (cst);
 }
 
-/* Returns whether YAML may be put in force.  */
+/* Returns whether YAML is a valid configuration according to the VALID
+   callback.  */
 bool
 cst_is_valid (const struct cst *cst, GBytes *yaml)
 {
@@ -69,7 +76,7 @@
   return text != NULL && cst->params.valid (text, size, cst->params.user_data);
 }
 
-/* Returns whether the reader stood at the head of the log a short time ago. */
+/* Returns whether the reader has reached the end of the log recently.  */
 bool
 cst_log_fresh (const struct cst *cst, int64_t now_us)
 {
@@ -78,8 +85,8 @@
 }
 
 static void
-answer (uint64_t request_id, enum err_kind kind, uint64_t version,
-        struct act_list *actions)
+queue_answer (uint64_t request_id, enum err_kind kind, uint64_t version,
+              struct act_list *actions)
 {
   struct act action = { .kind = ACT_ANSWER_PUBLISH };
   action.publish = (struct act_answer_publish){ .request_id = request_id,
@@ -88,9 +95,10 @@
   act_list_add (actions, &action);
 }
 
+/* Queues an append of RECORD to the log.  Returns its token.  */
 static uint64_t
-append (struct cst *cst, const struct rec_configuration *record,
-        struct act_list *actions)
+queue_append (struct cst *cst, const struct rec_configuration *record,
+              struct act_list *actions)
 {
   struct act action = { .kind = ACT_APPEND };
   action.append.owner = ACT_OWNER_CONFIG;
@@ -101,10 +109,10 @@
   return action.append.token;
 }
 
-/* Returns why a publication can't be appended now, or ERR_NONE.  */
+/* Returns why PUBLICATION can't be appended now, or ERR_NONE.  */
 static enum err_kind
-publish_refusal (const struct cst *cst,
-                 const struct cst_publication *publication, int64_t now_us)
+check_publication (const struct cst *cst,
+                   const struct cst_publication *publication, int64_t now_us)
 {
   if (!cst_is_valid (cst, publication->yaml))
     {
@@ -114,14 +122,15 @@
     {
       return ERR_LOG_UNAVAILABLE;
     }
-  uint64_t known = MAX (cst->version, cst->peer_version);
+  uint64_t newest_version = MAX (cst->version, cst->peer_version);
   if (publication->restore_version > 0)
     {
-      return cst->anchored || publication->restore_version <= known
+      return cst->log_version_known
+                     || publication->restore_version <= newest_version
                  ? ERR_CONFIG_STALE_BASE
                  : ERR_NONE;
     }
-  if (!cst->anchored)
+  if (!cst->log_version_known)
     {
       return ERR_NOT_READY;
     }
@@ -129,73 +138,78 @@
                                                        : ERR_CONFIG_STALE_BASE;
 }
 
-/* An operator publishes a configuration.  Answered by ACT_ANSWER_PUBLISH once
-   the log has decided.  Kinds: ERR_NONE, ERR_CONFIG_INVALID,
-   ERR_CONFIG_STALE_BASE, ERR_LOG_UNAVAILABLE (not published, nor will be),
-   ERR_NOT_READY, ERR_APPEND_UNKNOWN.  */
+/* Publishes an operator's configuration.  The action ACT_ANSWER_PUBLISH
+   reports the result, at once or after the record was read back from the log:
+   ERR_NONE, ERR_CONFIG_INVALID, ERR_CONFIG_STALE_BASE, ERR_LOG_UNAVAILABLE
+   (not published and never will be), ERR_NOT_READY (the log's version isn't
+   known yet) or ERR_APPEND_UNKNOWN (may or may not be published).  */
 void
 cst_publish (struct cst *cst, const struct cst_publication *publication,
              int64_t now_us, struct act_list *actions)
 {
-  enum err_kind kind = publish_refusal (cst, publication, now_us);
+  enum err_kind kind = check_publication (cst, publication, now_us);
   if (kind != ERR_NONE)
     {
-      answer (publication->request_id, kind, cst->version, actions);
+      queue_answer (publication->request_id, kind, cst->version, actions);
       return;
     }
-  struct cst_own *own = g_new0 (struct cst_own, 1);
-  own->request_id = publication->request_id;
-  own->nonce = cst->next_token;
-  own->started_us = now_us;
+  struct cst_pending *pending = g_new0 (struct cst_pending, 1);
+  pending->request_id = publication->request_id;
+  pending->nonce = cst->next_token;
+  pending->started_us = now_us;
   struct rec_configuration record = {
     .incarnation = cst->params.incarnation,
-    .nonce = own->nonce,
+    .nonce = pending->nonce,
     .base_version = publication->base_version,
     .version = publication->restore_version,
     .publisher = (char *)publication->publisher,
     .yaml = publication->yaml,
-    .after = cst->expected,
+    .after = cst->next_offset,
   };
-  own->token = append (cst, &record, actions);
-  g_ptr_array_add (cst->publications, own);
+  pending->token = queue_append (cst, &record, actions);
+  g_ptr_array_add (cst->publications, pending);
 }
 
-/* Returns this daemon's unsettled publication with NONCE, or NULL.  */
-struct cst_own *
+/* Returns this daemon's pending publication with NONCE, or NULL.  */
+struct cst_pending *
 cst_find_publication (const struct cst *cst, uint64_t nonce)
 {
   for (guint i = 0; i < cst->publications->len; i++)
     {
-      struct cst_own *own = g_ptr_array_index (cst->publications, i);
-      if (own->nonce == nonce)
+      struct cst_pending *pending = g_ptr_array_index (cst->publications, i);
+      if (pending->nonce == nonce)
         {
-          return own;
+          return pending;
         }
     }
   return NULL;
 }
 
-/* Answers the publisher and forgets the publication.  */
+/* Queues the answer to the publisher and frees PENDING.  */
 void
-cst_settle (struct cst *cst, struct cst_own *own, enum err_kind kind,
-            uint64_t version, struct act_list *actions)
+cst_finish_publication (struct cst *cst, struct cst_pending *pending,
+                        enum err_kind kind, uint64_t version,
+                        struct act_list *actions)
 {
-  answer (own->request_id, kind, version, actions);
-  g_ptr_array_remove (cst->publications, own);
+  queue_answer (pending->request_id, kind, version, actions);
+  g_ptr_array_remove (cst->publications, pending);
 }
 
+/* Appends a record that makes every reader ignore the publication unless its
+   own record comes earlier in the log.  */
 static void
-withdraw (struct cst *cst, struct cst_own *own, int64_t now_us,
-          struct act_list *actions)
+append_withdrawal (struct cst *cst, struct cst_pending *pending,
+                   int64_t now_us, struct act_list *actions)
 {
   struct rec_configuration record = { .incarnation = cst->params.incarnation,
-                                      .nonce = own->nonce,
+                                      .nonce = pending->nonce,
                                       .withdrawn = true };
-  own->withdrawn_us = now_us;
-  own->withdraw_token = append (cst, &record, actions);
+  pending->withdrawn_us = now_us;
+  pending->withdraw_token = queue_append (cst, &record, actions);
 }
 
-/* The append TOKEN is in the log; its verdict follows when it is read.  */
+/* Handles the successful append TOKEN.  A publication is answered only when
+   its record is read back from the log.  */
 void
 cst_append_done (struct cst *cst, uint64_t token, uint64_t offset,
                  int64_t now_us, struct act_list *actions)
@@ -203,13 +217,14 @@
   (void)offset;
   (void)now_us;
   (void)actions;
-  if (token == cst->carry_token)
+  if (token == cst->checkpoint_token)
     {
-      cst->carry_token = 0;
+      cst->checkpoint_token = 0;
     }
 }
 
-/* The log refused the append TOKEN: it certainly is not in the log.  */
+/* Handles the append TOKEN that the log rejected: its record is certainly not
+   in the log.  */
 void
 cst_append_refused (struct cst *cst, uint64_t token, int64_t now_us,
                     struct act_list *actions)
@@ -217,17 +232,19 @@
   cst_append_done (cst, token, 0, now_us, actions);
   for (guint i = 0; i < cst->publications->len; i++)
     {
-      struct cst_own *own = g_ptr_array_index (cst->publications, i);
-      if (own->token == token)
+      struct cst_pending *pending = g_ptr_array_index (cst->publications, i);
+      if (pending->token == token)
         {
-          cst_settle (cst, own, ERR_LOG_UNAVAILABLE, cst->version, actions);
+          cst_finish_publication (cst, pending, ERR_LOG_UNAVAILABLE,
+                                  cst->version, actions);
           return;
         }
     }
 }
 
-/* The answer to the append TOKEN was lost.  A publication is settled by
-   reading, and withdrawn when it is not read in time.  */
+/* Handles the append TOKEN whose result is unknown.  A publication is answered
+   when its record is read back from the log; cst_tick withdraws it when that
+   takes too long.  */
 void
 cst_append_lost (struct cst *cst, uint64_t token, int64_t now_us,
                  struct act_list *actions)
@@ -235,23 +252,27 @@
   cst_append_done (cst, token, 0, now_us, actions);
 }
 
-/* Returns whether this daemon is the one to carry the current version: daemons
-   take turns by rank.  */
+/* Returns whether this daemon has to append a checkpoint now.  Daemons of a
+   higher rank wait longer, so that usually only one of them appends it.  */
 static bool
-carry_due (const struct cst *cst, int64_t now_us)
+checkpoint_is_due (const struct cst *cst, int64_t now_us)
 {
-  int64_t step_us = cst->params.carry_us / RANK_STEPS;
-  int64_t log_now_us = cst->latest_us + (now_us - cst->latest_read_us);
-  int64_t due_us = cst->anchor_us + cst->params.carry_us
-                   + step_us * MIN (cst->rank, RANKS_MAX);
-  return cst->anchored && cst->log_version > 0
+  int64_t step_us = cst->params.checkpoint_interval_us / RANK_STEPS;
+  int64_t log_now_us = cst->newest_us + (now_us - cst->newest_read_us);
+  int64_t due_us = cst->checkpoint_us + cst->params.checkpoint_interval_us
+                   + step_us * MIN (cst->rank, RANK_MAX);
+  return cst->log_version_known && cst->log_version > 0
          && cst->log_version == cst->version && cst_log_fresh (cst, now_us)
-         && log_now_us >= due_us && cst->carry_token == 0
-         && now_us - cst->carry_started_us >= cst->params.settle_wait_us;
+         && log_now_us >= due_us && cst->checkpoint_token == 0
+         && now_us - cst->checkpoint_started_us
+                >= cst->params.read_back_timeout_us;
 }
 
+/* Appends a checkpoint: a copy of the current version that outlives the
+   retention of the original record.  It counts only at the offset NEXT_OFFSET.
+ */
 static void
-carry (struct cst *cst, int64_t now_us, struct act_list *actions)
+append_checkpoint (struct cst *cst, int64_t now_us, struct act_list *actions)
 {
   struct rec_configuration record = { .incarnation = cst->params.incarnation,
                                       .nonce = cst->next_token,
@@ -259,39 +280,43 @@
                                       .publisher = cst->publisher,
                                       .yaml = cst->yaml,
                                       .published_us = cst->published_us,
-                                      .after = cst->expected };
-  cst->carry_started_us = now_us;
-  cst->carry_token = append (cst, &record, actions);
+                                      .after = cst->next_offset };
+  cst->checkpoint_started_us = now_us;
+  cst->checkpoint_token = queue_append (cst, &record, actions);
 }
 
-/* Settles publications that wait too long and carries the current version
-   forward.  To be called every few hundredths of a second.  */
+/* Withdraws or gives up publications that weren't read back in time, and
+   appends a checkpoint when one is due.  To be called every few tens of
+   milliseconds.  */
 void
 cst_tick (struct cst *cst, int64_t now_us, struct act_list *actions)
 {
   for (guint i = cst->publications->len; i > 0; i--)
     {
-      struct cst_own *own = g_ptr_array_index (cst->publications, i - 1);
-      if (own->withdraw_token == 0)
+      struct cst_pending *pending
+          = g_ptr_array_index (cst->publications, i - 1);
+      if (pending->withdraw_token == 0)
         {
-          if (now_us - own->started_us > cst->params.settle_wait_us)
+          if (now_us - pending->started_us > cst->params.read_back_timeout_us)
             {
-              withdraw (cst, own, now_us, actions);
+              append_withdrawal (cst, pending, now_us, actions);
             }
         }
-      else if (now_us - own->withdrawn_us > cst->params.settle_wait_us)
+      else if (now_us - pending->withdrawn_us
+               > cst->params.read_back_timeout_us)
         {
-          cst_settle (cst, own, ERR_APPEND_UNKNOWN, cst->version, actions);
+          cst_finish_publication (cst, pending, ERR_APPEND_UNKNOWN,
+                                  cst->version, actions);
         }
     }
-  if (carry_due (cst, now_us))
+  if (checkpoint_is_due (cst, now_us))
     {
-      carry (cst, now_us, actions);
+      append_checkpoint (cst, now_us, actions);
     }
 }
 
-/* Tells how many daemons there are, this one included, and its number among
-   them.  */
+/* Sets the number of live daemons, this one included, and this daemon's rank
+   among them, which decides when it appends a checkpoint.  */
 void
 cst_set_daemons (struct cst *cst, uint32_t daemons, uint32_t rank)
 {
@@ -299,7 +324,7 @@
   cst->rank = rank;
 }
 
-/* A peer says that VERSION is in force there; any message of a peer counts. */
+/* Handles a message of a peer, at which VERSION is in force.  */
 void
 cst_peer_version (struct cst *cst, uint64_t version, int64_t now_us)
 {
@@ -315,32 +340,35 @@
     }
 }
 
-/* A peer sends its configuration.  It is put in force when it is valid and
-   higher, and this daemon doesn't read the log itself, which goes before any
-   peer.  */
+/* Handles a peer's configuration.  It is applied when it is valid and its
+   version is higher, unless this daemon can read the log, which takes
+   precedence over peers.  */
 void
 cst_peer_config (struct cst *cst, uint64_t version, GBytes *yaml,
                  int64_t now_us, struct act_list *actions)
 {
   cst_peer_version (cst, version, now_us);
-  bool own_view = cst->anchored && cst_log_fresh (cst, now_us);
-  if (version > cst->version && !own_view && cst_is_valid (cst, yaml))
+  bool reads_log = cst->log_version_known && cst_log_fresh (cst, now_us);
+  if (version > cst->version && !reads_log && cst_is_valid (cst, yaml))
     {
-      cst_adopt (cst, version, yaml, "", 0, false, actions);
+      cst_apply_version (cst, version, yaml, "", 0, false, actions);
     }
 }
 
-/* Returns the version that peers have and this daemon lacks, or 0.  */
+/* Returns the version to request from peers, or 0 when none has a higher one
+   than this daemon.  */
 uint64_t
 cst_wanted_version (const struct cst *cst)
 {
   return cst->peer_version > cst->version ? cst->peer_version : 0;
 }
 
-/* Returns whether this daemon may serve with the configuration it has.  It may
-   not without one.  One that reads the log may.  One that doesn't may while it
-   hears peers, unless they have had a higher version for the bound; and when
-   it never had any: a membership that has given them up doesn't count.  */
+/* Returns whether this daemon may serve requests with its configuration.  It
+   needs one, and one of these: it has read to the end of the log within the
+   isolation limit; or it has heard a peer within the limit, and no peer has
+   had a higher version for longer than the limit; or it has never had a peer
+   and is the only daemon.  A daemon that has had peers isn't exempt when its
+   membership declares all of them dead: it may be partitioned.  */
 bool
 cst_serving_allowed (const struct cst *cst, int64_t now_us)
 {
@@ -348,46 +376,49 @@
     {
       return false;
     }
-  int64_t bound_us = cst->params.serve_bound_us;
-  bool log = cst->caught_up && now_us - cst->caught_up_us <= bound_us;
-  bool peers = cst->peer_heard && now_us - cst->peer_heard_us <= bound_us;
+  int64_t limit_us = cst->params.isolation_limit_us;
+  bool log_reachable
+      = cst->caught_up && now_us - cst->caught_up_us <= limit_us;
+  bool peers_reachable
+      = cst->peer_heard && now_us - cst->peer_heard_us <= limit_us;
   bool behind
-      = cst->peer_version > cst->version && now_us - cst->behind_us > bound_us;
-  bool alone = !cst->peer_heard && cst->daemons <= 1;
-  return log || (peers && !behind) || alone;
+      = cst->peer_version > cst->version && now_us - cst->behind_us > limit_us;
+  bool single_daemon = !cst->peer_heard && cst->daemons <= 1;
+  return log_reachable || (peers_reachable && !behind) || single_daemon;
 }
 
-/* Returns the version in force, 0 when there is none.  */
+/* Returns the version in force, or 0 when there is none.  */
 uint64_t
 cst_current_version (const struct cst *cst)
 {
   return cst->version;
 }
 
-/* Returns the configuration in force, NULL when there is none; borrowed.  */
+/* Returns the configuration in force, owned by CST, or NULL when there is
+   none.  */
 GBytes *
 cst_current_yaml (const struct cst *cst)
 {
   return cst->yaml;
 }
 
-/* Returns how many versions the history has.  */
+/* Returns the number of versions in the history.  */
 uint32_t
 cst_history_length (const struct cst *cst)
 {
   return cst->history->len;
 }
 
-/* Returns a version of the history; 0 is the newest.  */
+/* Returns version INDEX of the history, owned by CST; 0 is the newest.  */
 const struct cst_version *
 cst_history_get (const struct cst *cst, uint32_t index)
 {
   return g_ptr_array_index (cst->history, cst->history->len - 1 - index);
 }
 
-/* Returns how often the log contradicted a peer or a carried record.  */
+/* Returns how often the log contradicted a peer's copy or a checkpoint.  */
 uint32_t
-cst_conflicts (const struct cst *cst)
+cst_conflict_count (const struct cst *cst)
 {
   return cst->conflicts;
 }
--- a/src/core/confstate.h
+++ b/src/core/confstate.h
@@ -1,5 +1,10 @@
-/* The configuration in force: publications in the order of the log, copies
-   from peers, and whether this daemon may serve with what it knows. */
+/* State machine that decides which configuration version is in force at this
+   daemon.  Operators publish configurations by appending them to the stream
+   CST_STREAM of the platform's log; the order of the log decides between
+   concurrent publications.  A daemon that can't read the log takes copies from
+   its peers.  The machine also decides whether the daemon may serve requests
+   with the configuration that it has.  It does no I/O: callers pass in events
+   and perform the queued actions. */
 #ifndef CORE_CONFSTATE_H
 #define CORE_CONFSTATE_H
 
@@ -9,27 +14,35 @@
 
 struct cst_params
 {
-  uint64_t incarnation;   /* random, unique for each start; not 0 */
-  int64_t carry_us;       /* log time between two carried records; a quarter
-                             of what the log keeps */
-  int64_t log_stale_us;   /* reader behind the log: publications refused */
-  int64_t serve_bound_us; /* serving goes on without log and peers */
-  int64_t settle_wait_us; /* longest wait for a publication to be read */
-  uint32_t history_max;   /* versions kept for operators */
+  uint64_t incarnation; /* random, unique for each start; not 0 */
+  /* Log time between two checkpoints, which repeat the current version so that
+     it outlives the log's retention.  */
+  int64_t checkpoint_interval_us;
+  /* Publications are rejected when the end of the log was last reached longer
+     ago than this.  */
+  int64_t log_stale_us;
+  /* The daemon stops serving after this time without log and peers.  */
+  int64_t isolation_limit_us;
+  /* Time-out for reading back an append of this daemon from the log.  */
+  int64_t read_back_timeout_us;
+  uint32_t history_max; /* versions kept for operators */
   bool (*valid) (const char *yaml, size_t bytes, void *user_data);
-  void *user_data;
+  void *user_data; /* passed to VALID */
 };
 
+/* A configuration that an operator publishes. */
 struct cst_publication
 {
-  uint64_t request_id;
-  uint64_t base_version;
-  uint64_t restore_version; /* 0; else put in force as this version, when the
-                               log has lost every configuration */
+  uint64_t request_id;   /* repeated in the answer */
+  uint64_t base_version; /* the version that YAML was derived from */
+  /* 0; else the version to restore YAML as, after the log has lost every
+     configuration.  */
+  uint64_t restore_version;
   const char *publisher;
   GBytes *yaml;
 };
 
+/* An accepted version in the history. */
 struct cst_version
 {
   uint64_t version;
@@ -71,6 +84,6 @@
 uint32_t cst_history_length (const struct cst *cst);
 const struct cst_version *cst_history_get (const struct cst *cst,
                                            uint32_t index);
-uint32_t cst_conflicts (const struct cst *cst);
+uint32_t cst_conflict_count (const struct cst *cst);
 
 #endif
--- a/src/core/confstate_log.c
+++ b/src/core/confstate_log.c
@@ -16,23 +16,24 @@
     }
 }
 
-/* Puts VERSION in force if it is higher than what is.  The log's copy replaces
-   a peer's of the same version that differs from it.  */
+/* Puts VERSION in force when it is higher than the version in force.  When
+   both are the same but the YAML differs, the log's copy replaces the one from
+   a peer.  */
 void
-cst_adopt (struct cst *cst, uint64_t version, GBytes *yaml,
-           const char *publisher, int64_t published_us, bool from_log,
-           struct act_list *actions)
+cst_apply_version (struct cst *cst, uint64_t version, GBytes *yaml,
+                   const char *publisher, int64_t published_us, bool from_log,
+                   struct act_list *actions)
 {
-  bool differs = from_log && version == cst->version
-                 && !g_bytes_equal (yaml, cst->yaml);
-  cst->conflicts += differs ? 1 : 0;
-  if (version <= cst->version && !differs)
+  bool replaces_copy = from_log && version == cst->version
+                       && !g_bytes_equal (yaml, cst->yaml);
+  cst->conflicts += replaces_copy ? 1 : 0;
+  if (version <= cst->version && !replaces_copy)
     {
       return;
     }
-  GBytes *old = cst->yaml;
+  GBytes *old_yaml = cst->yaml;
   cst->yaml = g_bytes_ref (yaml);
-  g_bytes_unref (old);
+  g_bytes_unref (old_yaml);
   g_free (cst->publisher);
   cst->publisher = g_strdup (publisher);
   cst->published_us = published_us;
@@ -48,10 +49,9 @@
 {
   for (guint i = 0; i < cst->withdrawn->len; i++)
     {
-      const struct cst_nonce *nonce
-          = &g_array_index (cst->withdrawn, struct cst_nonce, i);
-      if (nonce->incarnation == record->incarnation
-          && nonce->value == record->nonce)
+      const struct cst_publication_id *id
+          = &g_array_index (cst->withdrawn, struct cst_publication_id, i);
+      if (id->incarnation == record->incarnation && id->nonce == record->nonce)
         {
           return true;
         }
@@ -59,12 +59,14 @@
   return false;
 }
 
-/* Judges a publication: the first valid one on the current version counts.  */
+/* Applies a publication read from the log.  Of several publications based on
+   the current version, only the first valid one in the log is accepted.
+   Returns ERR_NONE or why it is rejected.  */
 static enum err_kind
-judge_publication (struct cst *cst, const struct rec_configuration *record,
+apply_publication (struct cst *cst, const struct rec_configuration *record,
                    int64_t time_us, struct act_list *actions)
 {
-  if (!cst->anchored)
+  if (!cst->log_version_known)
     {
       return ERR_NOT_READY;
     }
@@ -83,22 +85,23 @@
   cst->log_version++;
   add_history (cst, cst->log_version, time_us, record->publisher,
                record->yaml);
-  cst_adopt (cst, cst->log_version, record->yaml, record->publisher, time_us,
-             true, actions);
+  cst_apply_version (cst, cst->log_version, record->yaml, record->publisher,
+                     time_us, true, actions);
   return ERR_NONE;
 }
 
-/* Judges a carried record.  It counts only at the offset that its writer
-   expected: nothing that the writer had not read lies before it.  */
+/* Applies a checkpoint or a restored configuration read from the log.  It
+   counts only at the offset that its writer expected: then no record precedes
+   it that its writer had not read.  Returns ERR_NONE or why it is rejected. */
 static enum err_kind
-judge_carried (struct cst *cst, const struct rec_configuration *record,
-               uint64_t offset, int64_t time_us, struct act_list *actions)
+apply_checkpoint (struct cst *cst, const struct rec_configuration *record,
+                  uint64_t offset, int64_t time_us, struct act_list *actions)
 {
   if (record->after != offset)
     {
       return ERR_CONFIG_STALE_BASE;
     }
-  if (cst->anchored && record->version != cst->log_version)
+  if (cst->log_version_known && record->version != cst->log_version)
     {
       cst->conflicts++;
       return ERR_CONFIG_STALE_BASE;
@@ -109,89 +112,95 @@
     }
   int64_t published_us
       = record->published_us > 0 ? record->published_us : time_us;
-  cst->anchor_us = time_us;
-  if (!cst->anchored)
+  cst->checkpoint_us = time_us;
+  if (!cst->log_version_known)
     {
-      cst->anchored = true;
+      cst->log_version_known = true;
       cst->log_version = record->version;
       add_history (cst, record->version, published_us, record->publisher,
                    record->yaml);
     }
-  cst_adopt (cst, record->version, record->yaml, record->publisher,
-             published_us, true, actions);
+  cst_apply_version (cst, record->version, record->yaml, record->publisher,
+                     published_us, true, actions);
   return ERR_NONE;
 }
 
-/* A withdrawal counts from here on; its own daemon learns whether the
-   publication came before it.  */
+/* Applies a withdrawal read from the log: the publication is ignored if its
+   record follows.  If the publication is still pending at this daemon, its
+   record doesn't precede the withdrawal, and the publisher is told that it
+   failed, or that the result is unknown after a gap.  */
 static void
-read_withdrawal (struct cst *cst, const struct rec_configuration *record,
-                 struct act_list *actions)
+apply_withdrawal (struct cst *cst, const struct rec_configuration *record,
+                  struct act_list *actions)
 {
-  struct cst_nonce nonce = { record->incarnation, record->nonce };
-  g_array_append_val (cst->withdrawn, nonce);
+  struct cst_publication_id id = { record->incarnation, record->nonce };
+  g_array_append_val (cst->withdrawn, id);
   if (cst->withdrawn->len > cst->params.history_max)
     {
       g_array_remove_index (cst->withdrawn, 0);
     }
-  struct cst_own *own = cst_find_publication (cst, record->nonce);
-  if (record->incarnation == cst->params.incarnation && own != NULL)
+  struct cst_pending *pending = cst_find_publication (cst, record->nonce);
+  if (record->incarnation == cst->params.incarnation && pending != NULL)
     {
       enum err_kind kind
-          = own->missed ? ERR_APPEND_UNKNOWN : ERR_LOG_UNAVAILABLE;
-      cst_settle (cst, own, kind, cst->version, actions);
+          = pending->may_be_in_gap ? ERR_APPEND_UNKNOWN : ERR_LOG_UNAVAILABLE;
+      cst_finish_publication (cst, pending, kind, cst->version, actions);
     }
 }
 
-/* Records aged out unread.  The next carried record tells what is in force;
-   this daemon's own publications may lie among them.  */
+/* Handles a gap: records have expired from the log before this daemon read
+   them.  The version is unknown until the next checkpoint.  Records of this
+   daemon's pending publications may be among the lost ones.  */
 static void
-note_gap (struct cst *cst)
+handle_gap (struct cst *cst)
 {
-  cst->anchored = false;
+  cst->log_version_known = false;
   for (guint i = 0; i < cst->publications->len; i++)
     {
-      struct cst_own *own = g_ptr_array_index (cst->publications, i);
-      own->missed = true;
+      struct cst_pending *pending = g_ptr_array_index (cst->publications, i);
+      pending->may_be_in_gap = true;
     }
 }
 
-/* Notes the record at OFFSET.  Returns false when it was read before.  After a
-   gap the next carried record tells what is in force.  */
+/* Moves the read position past the record at OFFSET.  Returns false when that
+   record has already been read.  A daemon that reads from offset 0 starts with
+   the known version 0; any other waits for a checkpoint.  */
 static bool
-advance (struct cst *cst, uint64_t offset, int64_t time_us, int64_t now_us)
+advance_position (struct cst *cst, uint64_t offset, int64_t time_us,
+                  int64_t now_us)
 {
-  if (cst->started && offset < cst->expected)
+  if (cst->position_known && offset < cst->next_offset)
     {
       return false;
     }
-  if (!cst->started && offset == 0)
+  if (!cst->position_known && offset == 0)
     {
-      cst->anchored = true;
-      cst->anchor_us = time_us;
+      cst->log_version_known = true;
+      cst->checkpoint_us = time_us;
     }
-  if (cst->started && offset > cst->expected)
+  if (cst->position_known && offset > cst->next_offset)
     {
-      note_gap (cst);
+      handle_gap (cst);
     }
-  if (cst->anchor_us == 0)
+  if (cst->checkpoint_us == 0)
     {
-      cst->anchor_us = time_us;
+      cst->checkpoint_us = time_us;
     }
-  cst->started = true;
-  cst->expected = offset + 1;
-  cst->latest_us = time_us;
-  cst->latest_read_us = now_us;
+  cst->position_known = true;
+  cst->next_offset = offset + 1;
+  cst->newest_us = time_us;
+  cst->newest_read_us = now_us;
   return true;
 }
 
-/* A record of the stream `config' was read.  Records come in the order of
-   their offsets; TIME_US is the log's own time of the record.  */
+/* Handles a record of the stream CST_STREAM.  Records come in ascending order
+   of OFFSET, possibly with gaps and repetitions.  TIME_US is the time that the
+   log gave the record.  */
 void
 cst_log_record (struct cst *cst, uint64_t offset, int64_t time_us,
                 GBytes *bytes, int64_t now_us, struct act_list *actions)
 {
-  if (!advance (cst, offset, time_us, now_us))
+  if (!advance_position (cst, offset, time_us, now_us))
     {
       return;
     }
@@ -202,40 +211,42 @@
     }
   if (record->withdrawn)
     {
-      read_withdrawal (cst, record, actions);
+      apply_withdrawal (cst, record, actions);
       rec_configuration_destroy (record);
       return;
     }
   enum err_kind kind
       = record->version > 0
-            ? judge_carried (cst, record, offset, time_us, actions)
-            : judge_publication (cst, record, time_us, actions);
-  struct cst_own *own = cst_find_publication (cst, record->nonce);
-  if (record->incarnation == cst->params.incarnation && own != NULL)
+            ? apply_checkpoint (cst, record, offset, time_us, actions)
+            : apply_publication (cst, record, time_us, actions);
+  struct cst_pending *pending = cst_find_publication (cst, record->nonce);
+  if (record->incarnation == cst->params.incarnation && pending != NULL)
     {
       uint64_t version = kind == ERR_NONE ? cst->log_version : cst->version;
-      cst_settle (cst, own, kind, version, actions);
+      cst_finish_publication (cst, pending, kind, version, actions);
     }
   rec_configuration_destroy (record);
 }
 
-/* A read of the stream was answered and its records were passed on.  */
+/* Handles the end of a read of the stream, after its records were passed to
+   cst_log_record.  The log holds the offsets from FIRST up to, but not
+   including, NEXT.  NOW_US is when the read began.  */
 void
 cst_log_position (struct cst *cst, uint64_t first, uint64_t next,
                   int64_t now_us)
 {
-  if (!cst->started)
+  if (!cst->position_known)
     {
-      cst->started = true;
-      cst->anchored = first == 0;
-      cst->expected = first;
+      cst->position_known = true;
+      cst->log_version_known = first == 0;
+      cst->next_offset = first;
     }
-  if (first > cst->expected)
+  if (first > cst->next_offset)
     {
-      note_gap (cst);
-      cst->expected = first;
+      handle_gap (cst);
+      cst->next_offset = first;
     }
-  if (cst->expected == next)
+  if (cst->next_offset == next)
     {
       cst->caught_up = true;
       cst->caught_up_us = now_us;
--- a/src/core/confstate_private.h
+++ b/src/core/confstate_private.h
@@ -1,45 +1,47 @@
-/* What the source files of the configuration machine share. */
+/* Internals shared by confstate.c and confstate_log.c. */
 #ifndef CORE_CONFSTATE_PRIVATE_H
 #define CORE_CONFSTATE_PRIVATE_H
 
 #include "core/confstate.h"
 #include "core/record.h"
 
-/* A publication of this daemon that is not settled. */
-struct cst_own
+/* A publication through this daemon that isn't answered yet. */
+struct cst_pending
 {
   uint64_t request_id;
   uint64_t nonce;
-  uint64_t token;
-  uint64_t withdraw_token; /* 0: not withdrawn */
+  uint64_t token;          /* of its append */
+  uint64_t withdraw_token; /* of the withdrawal's append; 0: not withdrawn */
   int64_t started_us;
-  int64_t withdrawn_us;
-  bool missed; /* its record may lie in a gap of the reading */
+  int64_t withdrawn_us; /* when the withdrawal was appended */
+  bool may_be_in_gap;   /* its record may be among records never read */
 };
 
-struct cst_nonce
+/* Identifies a publication across all daemons. */
+struct cst_publication_id
 {
   uint64_t incarnation;
-  uint64_t value;
+  uint64_t nonce;
 };
 
 struct cst
 {
   struct cst_params params;
-  /* What the log says, up to the record before EXPECTED.  */
-  bool started;
-  bool anchored; /* LOG_VERSION is known to be what all readers have */
-  uint64_t expected;
+  /* State of the log up to the record before NEXT_OFFSET.  */
+  bool position_known;    /* NEXT_OFFSET is set */
+  bool log_version_known; /* all readers get the same LOG_VERSION */
+  uint64_t next_offset;
   uint64_t log_version;
-  int64_t anchor_us; /* log time of the newest carried record, or start */
-  int64_t latest_us;
-  int64_t latest_read_us;
-  bool caught_up;
-  int64_t caught_up_us;
-  GArray *withdrawn;  /* struct cst_nonce */
-  GPtrArray *history; /* struct cst_version, the newest one last */
-  uint32_t conflicts;
-  /* What is in force here: the highest of log and peers.  */
+  int64_t checkpoint_us;  /* log time of the newest checkpoint, else of the
+                             first record that was read */
+  int64_t newest_us;      /* log time of the newest record */
+  int64_t newest_read_us; /* when the newest record was read */
+  bool caught_up;         /* the end of the log was reached at least once */
+  int64_t caught_up_us;   /* when it was reached last */
+  GArray *withdrawn;      /* struct cst_publication_id */
+  GPtrArray *history;     /* struct cst_version, the newest one last */
+  uint32_t conflicts;     /* between the log and peers or checkpoints */
+  /* The configuration in force: the highest version of log and peers.  */
   uint64_t version;
   GBytes *yaml;
   char *publisher;
@@ -47,24 +49,26 @@
   /* Peers.  */
   uint32_t daemons;
   uint32_t rank;
-  uint64_t peer_version; /* highest that was heard of */
-  int64_t behind_us;     /* since when it is higher than VERSION */
-  int64_t peer_heard_us;
-  bool peer_heard;
-  /* Own appends.  */
-  GPtrArray *publications; /* struct cst_own */
+  uint64_t peer_version; /* highest version that a peer has reported */
+  int64_t behind_us;     /* since when PEER_VERSION is higher than VERSION */
+  int64_t peer_heard_us; /* when a peer was last heard from */
+  bool peer_heard;       /* PEER_HEARD_US is set */
+  /* This daemon's own appends.  */
+  GPtrArray *publications; /* struct cst_pending */
   uint64_t next_token;
-  uint64_t carry_token; /* under way, or 0 */
-  int64_t carry_started_us;
+  uint64_t checkpoint_token; /* of the checkpoint in flight; 0: none */
+  int64_t checkpoint_started_us;
 };
 
 bool cst_is_valid (const struct cst *cst, GBytes *yaml);
 bool cst_log_fresh (const struct cst *cst, int64_t now_us);
-struct cst_own *cst_find_publication (const struct cst *cst, uint64_t nonce);
-void cst_settle (struct cst *cst, struct cst_own *own, enum err_kind kind,
-                 uint64_t version, struct act_list *actions);
-void cst_adopt (struct cst *cst, uint64_t version, GBytes *yaml,
-                const char *publisher, int64_t published_us, bool from_log,
-                struct act_list *actions);
+struct cst_pending *cst_find_publication (const struct cst *cst,
+                                          uint64_t nonce);
+void cst_finish_publication (struct cst *cst, struct cst_pending *pending,
+                             enum err_kind kind, uint64_t version,
+                             struct act_list *actions);
+void cst_apply_version (struct cst *cst, uint64_t version, GBytes *yaml,
+                        const char *publisher, int64_t published_us,
+                        bool from_log, struct act_list *actions);
 
 #endif
--- a/test/confstate_test.c
+++ b/test/confstate_test.c
@@ -8,7 +8,7 @@
 
 #include <cmocka.h>
 
-/* Steps name only the operands that they have.  */
+/* Steps set only the operands that their operation has.  */
 #pragma GCC diagnostic ignored "-Wmissing-field-initializers"
 
 #define NODES 4
@@ -23,48 +23,52 @@
 #define CALLS_MAX 512
 #define STEPS_MAX 24
 
-enum fate
+/* What happens to an append. */
+enum append_fault
 {
-  FATE_OK,
-  FATE_REFUSED,
-  FATE_LOST_IN,
-  FATE_LOST_OUT,
-  FATE_LATE
+  APPEND_OK,
+  APPEND_REJECTED,
+  APPEND_STORED_NO_REPLY,  /* stored, but the reply is lost */
+  APPEND_DROPPED_NO_REPLY, /* neither stored nor replied to */
+  APPEND_LATE_NO_REPLY     /* stored after APPEND_LATE_US; no reply */
 };
 
+/* A record of the simulated log. */
 struct record
 {
   int64_t time_us;
   GBytes *bytes;
 };
 
-/* An append or its result on its way. */
+/* An append, or its result, in transit. */
 struct event
 {
   int64_t due_us;
   bool result;
-  enum fate fate;
+  enum append_fault fault;
   uint32_t node;
   uint64_t incarnation;
   uint64_t token;
   GBytes *bytes;
 };
 
+/* A simulated daemon. */
 struct node
 {
-  struct cst *cst; /* NULL: dead */
+  struct cst *cst; /* NULL: not running */
   uint64_t incarnation;
   bool paused;
-  bool cut;      /* from the log */
-  bool isolated; /* from its peers */
-  uint64_t read_from;
+  bool cut_from_log;
+  bool cut_from_peers;
+  uint64_t read_from; /* next offset to read */
   uint64_t version;
   struct act_list *actions;
 };
 
+/* A publication and its answer. */
 struct call
 {
-  uint32_t answers;
+  uint32_t answers; /* number received */
   enum err_kind kind;
   uint64_t version;
   char yaml[32];
@@ -75,20 +79,20 @@
   int64_t now_us;
   struct node nodes[NODES];
   GArray *log;
-  uint64_t first;
+  uint64_t first; /* lowest offset that hasn't expired */
   int64_t retention_us;
-  bool out;
-  bool no_fetch; /* peers tell their version but send no configuration */
-  enum fate fate;
+  bool log_down;
+  bool no_fetch; /* peers report versions but send no configuration */
+  enum append_fault fault; /* of appends from now on */
   GArray *events;
-  char *in_force[VERSIONS_MAX]; /* the one text of each version */
+  char *texts[VERSIONS_MAX]; /* expected text of each version, once applied */
   struct call calls[CALLS_MAX];
   uint32_t call_count;
   uint32_t appends;
 };
 
 static bool
-valid_text (const char *yaml, size_t bytes, void *user_data)
+is_valid_text (const char *yaml, size_t bytes, void *user_data)
 {
   (void)user_data;
   return bytes > 2 && memcmp (yaml, "ok", 2) == 0;
@@ -101,7 +105,7 @@
   node->incarnation += 0x100 + index;
   struct cst_params params
       = cst_params_default (node->incarnation, fleet->retention_us);
-  params.valid = valid_text;
+  params.valid = is_valid_text;
   node->cst = cst_create (&params);
   node->read_from = 0;
   node->version = 0;
@@ -151,14 +155,15 @@
     }
   for (uint32_t i = 0; i < VERSIONS_MAX; i++)
     {
-      g_free (fleet->in_force[i]);
+      g_free (fleet->texts[i]);
     }
   g_array_free (fleet->log, TRUE);
   g_array_free (fleet->events, TRUE);
   g_free (fleet);
 }
 
-/* Every version has one text at every daemon, and versions only rise.  */
+/* Checks that a version has the same text at every daemon, and that versions
+   only rise.  */
 static void
 check_apply (struct fleet *fleet, struct node *node,
              const struct act_apply *apply)
@@ -166,20 +171,20 @@
   gsize size = 0;
   const char *data = g_bytes_get_data (apply->yaml, &size);
   char *text = g_strndup (data, size);
-  assert_true (valid_text (data, size, NULL));
+  assert_true (is_valid_text (data, size, NULL));
   assert_true (apply->version > node->version);
   assert_in_range (apply->version, 1, VERSIONS_MAX - 1);
   node->version = apply->version;
-  if (fleet->in_force[apply->version] == NULL)
+  if (fleet->texts[apply->version] == NULL)
     {
-      fleet->in_force[apply->version] = g_strdup (text);
+      fleet->texts[apply->version] = g_strdup (text);
     }
-  assert_string_equal (fleet->in_force[apply->version], text);
+  assert_string_equal (fleet->texts[apply->version], text);
   g_free (text);
 }
 
 static void
-take_actions (struct fleet *fleet, uint32_t index)
+perform_actions (struct fleet *fleet, uint32_t index)
 {
   struct node *node = &fleet->nodes[index];
   for (uint32_t i = 0; i < act_list_length (node->actions); i++)
@@ -199,16 +204,17 @@
       else
         {
           assert_int_equal (action->kind, ACT_APPEND);
-          enum fate fate = node->cut ? FATE_REFUSED : fleet->fate;
-          struct event event
-              = { .due_us
-                  = fleet->now_us
-                    + (fate == FATE_LATE ? APPEND_LATE_US : APPEND_DELAY_US),
-                  .fate = fate,
-                  .node = index,
-                  .incarnation = node->incarnation,
-                  .token = action->append.token,
-                  .bytes = g_bytes_ref (action->append.bytes) };
+          enum append_fault fault
+              = node->cut_from_log ? APPEND_REJECTED : fleet->fault;
+          struct event event = { .due_us = fleet->now_us
+                                           + (fault == APPEND_LATE_NO_REPLY
+                                                  ? APPEND_LATE_US
+                                                  : APPEND_DELAY_US),
+                                 .fault = fault,
+                                 .node = index,
+                                 .incarnation = node->incarnation,
+                                 .token = action->append.token,
+                                 .bytes = g_bytes_ref (action->append.bytes) };
           g_array_append_val (fleet->events, event);
           fleet->appends++;
         }
@@ -224,12 +230,12 @@
     {
       return;
     }
-  if (event->fate == FATE_OK)
+  if (event->fault == APPEND_OK)
     {
       cst_append_done (node->cst, event->token, 0, fleet->now_us,
                        node->actions);
     }
-  else if (event->fate == FATE_REFUSED)
+  else if (event->fault == APPEND_REJECTED)
     {
       cst_append_refused (node->cst, event->token, fleet->now_us,
                           node->actions);
@@ -238,10 +244,11 @@
     {
       cst_append_lost (node->cst, event->token, fleet->now_us, node->actions);
     }
-  take_actions (fleet, event->node);
+  perform_actions (fleet, event->node);
 }
 
-/* An append reaches the log; its result goes back.  */
+/* Stores the append in the log, unless its fault says otherwise, and sends the
+   result back.  */
 static void
 deliver_append (struct fleet *fleet, const struct event *event)
 {
@@ -249,17 +256,17 @@
   result.result = true;
   result.bytes = NULL;
   result.due_us = fleet->now_us + APPEND_DELAY_US;
-  if (fleet->out && event->fate != FATE_LOST_OUT)
+  if (fleet->log_down && event->fault != APPEND_DROPPED_NO_REPLY)
     {
-      result.fate = FATE_REFUSED;
+      result.fault = APPEND_REJECTED;
     }
-  if (result.fate == FATE_OK || result.fate == FATE_LOST_IN
-      || result.fate == FATE_LATE)
+  if (result.fault == APPEND_OK || result.fault == APPEND_STORED_NO_REPLY
+      || result.fault == APPEND_LATE_NO_REPLY)
     {
       struct record record = { fleet->now_us, g_bytes_ref (event->bytes) };
       g_array_append_val (fleet->log, record);
     }
-  if (result.fate != FATE_OK && result.fate != FATE_REFUSED)
+  if (result.fault != APPEND_OK && result.fault != APPEND_REJECTED)
     {
       result.due_us = fleet->now_us + APPEND_TIMEOUT_US;
     }
@@ -309,19 +316,21 @@
   cst_log_position (node->cst, fleet->first, fleet->log->len, fleet->now_us);
 }
 
+/* Returns whether NODE is started and not paused.  */
 static bool
-runs (const struct node *node)
+is_running (const struct node *node)
 {
   return node->cst != NULL && !node->paused;
 }
 
 static void
-hear_peers (struct fleet *fleet, struct node *node)
+exchange_with_peers (struct fleet *fleet, struct node *node)
 {
   for (uint32_t i = 0; i < NODES; i++)
     {
       const struct node *peer = &fleet->nodes[i];
-      if (peer == node || !runs (peer) || peer->isolated || node->isolated)
+      if (peer == node || !is_running (peer) || peer->cut_from_peers
+          || node->cut_from_peers)
         {
           continue;
         }
@@ -353,17 +362,17 @@
       for (uint32_t i = 0; i < NODES; i++)
         {
           struct node *node = &fleet->nodes[i];
-          if (!runs (node))
+          if (!is_running (node))
             {
               continue;
             }
-          if (!node->cut && !fleet->out)
+          if (!node->cut_from_log && !fleet->log_down)
             {
               read_log (fleet, node);
             }
-          hear_peers (fleet, node);
+          exchange_with_peers (fleet, node);
           cst_tick (node->cst, fleet->now_us, node->actions);
-          take_actions (fleet, i);
+          perform_actions (fleet, i);
         }
     }
 }
@@ -382,12 +391,12 @@
                                                .yaml = yaml };
   struct node *node = &fleet->nodes[index];
   cst_publish (node->cst, &publication, fleet->now_us, node->actions);
-  take_actions (fleet, index);
+  perform_actions (fleet, index);
   g_bytes_unref (yaml);
   return number;
 }
 
-/* Appends a record that no daemon of this version would write.  */
+/* Appends RECORD to the log without the checks that a daemon makes.  */
 static void
 append_raw (struct fleet *fleet, const struct rec_configuration *record)
 {
@@ -395,34 +404,36 @@
   g_array_append_val (fleet->log, raw);
 }
 
+/* Operations and checks of a scenario; the comments list the operands. */
 enum op
 {
   END,
-  PUBLISH,  /* node, base; calls are numbered from 0 */
-  INVALID,  /* node, base */
-  RAW_BAD,  /* base: an invalid publication past every check */
-  RAW_GOOD, /* base: a valid one */
-  NO_FETCH, /* from peers, or again */
-  RUN,      /* ms */
-  FATE,     /* of appends from now on */
-  OUT,      /* the log */
-  BACK,
-  CUT, /* node, from the log */
-  HEAL,
-  ISOLATE, /* node, from its peers */
-  JOIN,
-  KILL, /* node */
-  START,
-  PAUSE, /* node */
-  WAKE,
-  DAEMONS, /* node, live daemons by its membership */
-  ANSWER,  /* call, kind, version: the only answer */
-  SILENT,  /* call */
-  HAS,     /* node, version */
-  SERVES,  /* node, or not */
-  APPENDS  /* at least, at most, of all daemons so far */
+  PUBLISH,         /* node, base; calls are numbered from 0 */
+  PUBLISH_INVALID, /* node, base */
+  LOG_INVALID,     /* base; logs an invalid publication without checks */
+  LOG_VALID,       /* base; logs a valid publication without checks */
+  NO_FETCH,        /* whether peers withhold their configuration */
+  RUN,             /* ms */
+  FAULT,           /* enum append_fault of appends from now on */
+  LOG_DOWN,
+  LOG_UP,
+  CUT_FROM_LOG,   /* node */
+  REJOIN_LOG,     /* node */
+  CUT_FROM_PEERS, /* node */
+  REJOIN_PEERS,   /* node */
+  KILL,           /* node */
+  START,          /* node */
+  PAUSE,          /* node */
+  RESUME,         /* node */
+  DAEMONS,        /* node, number of live daemons in its membership */
+  ANSWER,         /* call, kind, version; checks the only answer */
+  UNANSWERED,     /* call; checks that it has no answer yet */
+  VERSION,        /* node, version; checks the version in force */
+  SERVES,         /* node, expected; checks whether it may serve */
+  APPENDS         /* minimum, maximum; checks the appends of all daemons */
 };
 
+/* An operation or check with its operands. */
 struct step
 {
   enum op op;
@@ -431,191 +442,191 @@
   uint32_t c;
 };
 
-struct row
+struct scenario
 {
   const char *name;
   struct step steps[STEPS_MAX];
 };
 
-static const struct row rows[] = {
-  { "one publication is in force everywhere",
+static const struct scenario scenarios[] = {
+  { "a publication is applied everywhere",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
       { ANSWER, 0, ERR_NONE, 1 },
-      { HAS, 0, 1 },
-      { HAS, 3, 1 },
+      { VERSION, 0, 1 },
+      { VERSION, 3, 1 },
       { SERVES, 3, true } } },
-  { "of two rivals the first in the log counts",
+  { "of two concurrent publications the first in the log is accepted",
     { { PUBLISH, 0, 0 },
       { PUBLISH, 1, 0 },
       { RUN, 200 },
       { ANSWER, 0, ERR_NONE, 1 },
       { ANSWER, 1, ERR_CONFIG_STALE_BASE, 1 },
-      { HAS, 2, 1 } } },
-  { "an invalid one is refused at once",
-    { { INVALID, 0, 0 },
+      { VERSION, 2, 1 } } },
+  { "an invalid publication is rejected at once",
+    { { PUBLISH_INVALID, 0, 0 },
       { ANSWER, 0, ERR_CONFIG_INVALID, 0 },
       { RUN, 200 },
-      { HAS, 0, 0 },
+      { VERSION, 0, 0 },
       { SERVES, 0, false } } },
-  { "an invalid one in the log is refused by every reader",
-    { { RAW_BAD, 0 },
+  { "an invalid publication in the log is rejected by every reader",
+    { { LOG_INVALID, 0 },
       { PUBLISH, 0, 0 },
       { RUN, 200 },
       { ANSWER, 0, ERR_NONE, 1 },
-      { HAS, 3, 1 } } },
-  { "an old base is refused at once",
+      { VERSION, 3, 1 } } },
+  { "a publication with an old base is rejected at once",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
       { PUBLISH, 1, 0 },
       { ANSWER, 1, ERR_CONFIG_STALE_BASE, 1 } } },
-  { "append answer lost, record in",
-    { { FATE, FATE_LOST_IN },
+  { "append reply lost, record stored",
+    { { FAULT, APPEND_STORED_NO_REPLY },
       { PUBLISH, 0, 0 },
       { RUN, 1000 },
       { ANSWER, 0, ERR_NONE, 1 } } },
-  { "append answer lost, record not in",
-    { { FATE, FATE_LOST_OUT },
+  { "append reply lost, record not stored",
+    { { FAULT, APPEND_DROPPED_NO_REPLY },
       { PUBLISH, 0, 0 },
       { RUN, 1000 },
-      { FATE, FATE_OK },
-      { SILENT, 0 },
+      { FAULT, APPEND_OK },
+      { UNANSWERED, 0 },
       { RUN, 2000 },
       { ANSWER, 0, ERR_LOG_UNAVAILABLE, 0 },
       { RUN, 5000 },
-      { HAS, 1, 0 } } },
-  { "append answer lost, record in after it was withdrawn",
-    { { FATE, FATE_LATE },
+      { VERSION, 1, 0 } } },
+  { "append reply lost, record stored after its withdrawal",
+    { { FAULT, APPEND_LATE_NO_REPLY },
       { PUBLISH, 0, 0 },
       { RUN, 1000 },
-      { FATE, FATE_OK },
+      { FAULT, APPEND_OK },
       { RUN, 2000 },
       { ANSWER, 0, ERR_LOG_UNAVAILABLE, 0 },
       { RUN, 5000 },
-      { HAS, 0, 0 },
-      { HAS, 1, 0 } } },
-  { "append answer lost, rival accepted meanwhile",
-    { { FATE, FATE_LATE },
+      { VERSION, 0, 0 },
+      { VERSION, 1, 0 } } },
+  { "append reply lost, another publication accepted meanwhile",
+    { { FAULT, APPEND_LATE_NO_REPLY },
       { PUBLISH, 0, 0 },
       { RUN, 100 },
-      { FATE, FATE_OK },
+      { FAULT, APPEND_OK },
       { PUBLISH, 1, 0 },
       { RUN, 8000 },
       { ANSWER, 0, ERR_LOG_UNAVAILABLE, 1 },
       { ANSWER, 1, ERR_NONE, 1 },
-      { HAS, 0, 1 } } },
-  { "publication read by all but its own daemon, paused past retention",
-    { { FATE, FATE_LATE },
+      { VERSION, 0, 1 } } },
+  { "publisher's daemon paused until the record has expired: unknown",
+    { { FAULT, APPEND_LATE_NO_REPLY },
       { PUBLISH, 0, 0 },
       { RUN, 100 },
-      { FATE, FATE_OK },
+      { FAULT, APPEND_OK },
       { PAUSE, 0 },
-      { ISOLATE, 0 },
+      { CUT_FROM_PEERS, 0 },
       { RUN, 900000 },
-      { HAS, 1, 1 },
-      { WAKE, 0 },
+      { VERSION, 1, 1 },
+      { RESUME, 0 },
       { RUN, 200 },
-      { HAS, 0, 1 },
+      { VERSION, 0, 1 },
       { RUN, 5000 },
       { ANSWER, 0, ERR_APPEND_UNKNOWN, 1 } } },
-  { "publication and withdrawal both lost: unknown",
-    { { FATE, FATE_LOST_OUT },
+  { "appends of publication and withdrawal both lost: unknown",
+    { { FAULT, APPEND_DROPPED_NO_REPLY },
       { PUBLISH, 0, 0 },
       { RUN, 5000 },
       { ANSWER, 0, ERR_APPEND_UNKNOWN, 0 } } },
   { "log outage: not published",
-    { { OUT },
+    { { LOG_DOWN },
       { RUN, 5000 },
       { PUBLISH, 0, 0 },
       { ANSWER, 0, ERR_LOG_UNAVAILABLE, 0 } } },
-  { "append refused: not published",
-    { { FATE, FATE_REFUSED },
+  { "append rejected: not published",
+    { { FAULT, APPEND_REJECTED },
       { PUBLISH, 0, 0 },
       { RUN, 1000 },
       { ANSWER, 0, ERR_LOG_UNAVAILABLE, 0 } } },
-  { "a daemon without the log learns from peers",
-    { { CUT, 3 },
+  { "a daemon without the log gets versions from peers",
+    { { CUT_FROM_LOG, 3 },
       { PUBLISH, 0, 0 },
       { RUN, 20000 },
-      { HAS, 3, 1 },
+      { VERSION, 3, 1 },
       { SERVES, 3, true },
       { PUBLISH, 0, 1 },
       { RUN, 200 },
-      { HAS, 3, 2 },
-      { HEAL, 3 },
+      { VERSION, 3, 2 },
+      { REJOIN_LOG, 3 },
       { RUN, 200 },
-      { HAS, 3, 2 } } },
+      { VERSION, 3, 2 } } },
   { "a daemon without log and peers stops serving within 12 s",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
-      { CUT, 3 },
-      { ISOLATE, 3 },
+      { CUT_FROM_LOG, 3 },
+      { CUT_FROM_PEERS, 3 },
       { RUN, 9000 },
       { SERVES, 3, true },
       { RUN, 2000 },
       { SERVES, 3, false },
       { PUBLISH, 0, 1 },
       { RUN, 1000 },
-      { JOIN, 3 },
+      { REJOIN_PEERS, 3 },
       { RUN, 100 },
       { SERVES, 3, true },
-      { HAS, 3, 2 } } },
-  { "nor does it when its membership has given the others up",
+      { VERSION, 3, 2 } } },
+  { "a daemon that declared its peers dead stops serving, too",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
-      { CUT, 3 },
-      { ISOLATE, 3 },
+      { CUT_FROM_LOG, 3 },
+      { CUT_FROM_PEERS, 3 },
       { RUN, 5000 },
       { DAEMONS, 3, 1 },
       { RUN, 6000 },
       { SERVES, 3, false } } },
   { "a daemon that never had peers serves through an outage",
-    { { ISOLATE, 0 },
-      { ISOLATE, 1 },
-      { ISOLATE, 2 },
+    { { CUT_FROM_PEERS, 0 },
+      { CUT_FROM_PEERS, 1 },
+      { CUT_FROM_PEERS, 2 },
       { KILL, 3 },
       { START, 3 },
       { DAEMONS, 3, 1 },
       { RUN, 200 },
       { PUBLISH, 3, 0 },
       { RUN, 200 },
-      { OUT },
+      { LOG_DOWN },
       { RUN, 60000 },
       { SERVES, 3, true } } },
-  { "a log outage that all see takes none down",
+  { "a log outage for all daemons stops none from serving",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
-      { OUT },
+      { LOG_DOWN },
       { RUN, 600000 },
       { SERVES, 0, true },
       { SERVES, 3, true },
-      { BACK },
+      { LOG_UP },
       { RUN, 200 },
       { PUBLISH, 0, 1 },
       { RUN, 1000 },
       { ANSWER, 1, ERR_NONE, 2 } } },
-  { "a replaced daemon starts during an outage from its peers",
+  { "a replaced daemon gets its version from peers during an outage",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
-      { OUT },
+      { LOG_DOWN },
       { RUN, 20000 },
       { KILL, 3 },
       { START, 3 },
       { SERVES, 3, false },
       { RUN, 100 },
-      { HAS, 3, 1 },
+      { VERSION, 3, 1 },
       { SERVES, 3, true } } },
   { "a replaced daemon without log and peers never serves",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
       { KILL, 3 },
       { START, 3 },
-      { CUT, 3 },
-      { ISOLATE, 3 },
+      { CUT_FROM_LOG, 3 },
+      { CUT_FROM_PEERS, 3 },
       { RUN, 30000 },
-      { HAS, 3, 0 },
+      { VERSION, 3, 0 },
       { SERVES, 3, false } } },
-  { "a paused daemon that wakes doesn't go back",
+  { "a resumed daemon doesn't serve an old version",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
       { PAUSE, 3 },
@@ -623,26 +634,26 @@
       { RUN, 200 },
       { PUBLISH, 0, 2 },
       { RUN, 20000 },
-      { WAKE, 3 },
+      { RESUME, 3 },
       { SERVES, 3, false },
       { RUN, 20 },
-      { HAS, 3, 3 },
+      { VERSION, 3, 3 },
       { SERVES, 3, true } } },
-  { "the current version outlives retention, carried by one daemon",
+  { "one daemon's checkpoints keep the version beyond retention",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
       { RUN, 2000000 },
       { APPENDS, 18, 24 },
       { KILL, 3 },
       { START, 3 },
-      { ISOLATE, 3 },
+      { CUT_FROM_PEERS, 3 },
       { RUN, 200 },
-      { HAS, 3, 1 },
+      { VERSION, 3, 1 },
       { PUBLISH, 3, 1 },
       { RUN, 200 },
       { ANSWER, 1, ERR_NONE, 2 },
-      { HAS, 0, 2 } } },
-  { "a late starter judges as the others, whatever has aged out",
+      { VERSION, 0, 2 } } },
+  { "a late starter agrees although older versions have expired",
     { { PUBLISH, 0, 0 },
       { RUN, 90000 },
       { PUBLISH, 0, 1 },
@@ -653,58 +664,59 @@
       { RUN, 290000 },
       { KILL, 3 },
       { START, 3 },
-      { ISOLATE, 3 },
+      { CUT_FROM_PEERS, 3 },
       { RUN, 200 },
-      { HAS, 3, 4 },
+      { VERSION, 3, 4 },
       { PUBLISH, 3, 4 },
       { RUN, 200 },
       { ANSWER, 4, ERR_NONE, 5 },
-      { HAS, 0, 5 } } },
-  { "a rival that a reader with a gap can't judge",
+      { VERSION, 0, 5 } } },
+  { "a reader with a gap ignores a publication with an old base",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
       { PAUSE, 3 },
-      { ISOLATE, 3 },
+      { CUT_FROM_PEERS, 3 },
       { RUN, 10000 },
       { PUBLISH, 0, 1 },
       { RUN, 295000 },
-      { RAW_GOOD, 1 },
+      { LOG_VALID, 1 },
       { RUN, 397500 },
-      { WAKE, 3 },
+      { RESUME, 3 },
       { RUN, 200 },
-      { HAS, 3, 2 } } },
-  { "a daemon that can't get the version that its peers have",
+      { VERSION, 3, 2 } } },
+  { "a daemon that can't fetch its peers' newer version stops serving",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
-      { CUT, 3 },
+      { CUT_FROM_LOG, 3 },
       { NO_FETCH, true },
       { PUBLISH, 0, 1 },
       { RUN, 9000 },
       { SERVES, 3, true },
       { RUN, 2000 },
-      { HAS, 3, 1 },
+      { VERSION, 3, 1 },
       { SERVES, 3, false },
       { NO_FETCH, false },
       { RUN, 100 },
       { SERVES, 3, true } } },
-  { "a daemon paused past the retention",
+  { "a daemon paused past retention catches up",
     { { PUBLISH, 0, 0 },
       { RUN, 200 },
       { PAUSE, 3 },
-      { ISOLATE, 3 },
+      { CUT_FROM_PEERS, 3 },
       { RUN, 10000 },
       { PUBLISH, 0, 1 },
       { RUN, 900000 },
-      { WAKE, 3 },
+      { RESUME, 3 },
       { RUN, 200 },
-      { HAS, 3, 2 },
+      { VERSION, 3, 2 },
       { PUBLISH, 3, 2 },
       { RUN, 200 },
       { ANSWER, 2, ERR_NONE, 3 } } },
 };
 
+/* Logs a publication of a daemon outside the simulated fleet.  */
 static void
-raw (struct fleet *fleet, uint64_t base, bool valid)
+append_foreign_publication (struct fleet *fleet, uint64_t base, bool valid)
 {
   GBytes *yaml = g_bytes_new_static (valid ? "ok raw" : "bad raw", 6);
   const struct rec_configuration record
@@ -725,10 +737,10 @@
                            err_answer ((enum err_kind)step->b)->name);
       assert_int_equal (call->version, step->c);
       break;
-    case SILENT:
+    case UNANSWERED:
       assert_int_equal (call->answers, 0);
       break;
-    case HAS:
+    case VERSION:
       assert_int_equal (cst_current_version (fleet->nodes[step->a].cst),
                         step->b);
       break;
@@ -752,12 +764,12 @@
   switch (step->op)
     {
     case PUBLISH:
-    case INVALID:
+    case PUBLISH_INVALID:
       publish (fleet, step->a, step->b, step->op == PUBLISH);
       break;
-    case RAW_BAD:
-    case RAW_GOOD:
-      raw (fleet, step->a, step->op == RAW_GOOD);
+    case LOG_INVALID:
+    case LOG_VALID:
+      append_foreign_publication (fleet, step->a, step->op == LOG_VALID);
       break;
     case DAEMONS:
       cst_set_daemons (node->cst, step->b, 0);
@@ -768,20 +780,20 @@
     case RUN:
       run_fleet (fleet, step->a * INT64_C (1000));
       break;
-    case FATE:
-      fleet->fate = (enum fate)step->a;
+    case FAULT:
+      fleet->fault = (enum append_fault)step->a;
       break;
-    case OUT:
-    case BACK:
-      fleet->out = step->op == OUT;
+    case LOG_DOWN:
+    case LOG_UP:
+      fleet->log_down = step->op == LOG_DOWN;
       break;
-    case CUT:
-    case HEAL:
-      node->cut = step->op == CUT;
+    case CUT_FROM_LOG:
+    case REJOIN_LOG:
+      node->cut_from_log = step->op == CUT_FROM_LOG;
       break;
-    case ISOLATE:
-    case JOIN:
-      node->isolated = step->op == ISOLATE;
+    case CUT_FROM_PEERS:
+    case REJOIN_PEERS:
+      node->cut_from_peers = step->op == CUT_FROM_PEERS;
       break;
     case KILL:
       cst_destroy (node->cst);
@@ -791,7 +803,7 @@
       start_node (fleet, step->a);
       break;
     case PAUSE:
-    case WAKE:
+    case RESUME:
       node->paused = step->op == PAUSE;
       break;
     default:
@@ -800,15 +812,16 @@
 }
 
 static void
-fault_rows (void **state)
+fault_scenarios (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
+  for (size_t i = 0; i < sizeof scenarios / sizeof scenarios[0]; i++)
     {
-      print_message ("row: %s\n", rows[i].name);
+      print_message ("scenario: %s\n", scenarios[i].name);
       struct fleet *fleet = fleet_create (RETENTION_US);
       run_fleet (fleet, S_US);
-      for (const struct step *step = rows[i].steps; step->op != END; step++)
+      for (const struct step *step = scenarios[i].steps; step->op != END;
+           step++)
         {
           do_step (fleet, step);
         }
@@ -834,10 +847,10 @@
   switch (next_random (random, 10))
     {
     case 0:
-      node->cut = !node->cut;
+      node->cut_from_log = !node->cut_from_log;
       break;
     case 1:
-      node->isolated = !node->isolated;
+      node->cut_from_peers = !node->cut_from_peers;
       break;
     case 2:
       node->paused = node->cst != NULL && !node->paused;
@@ -855,13 +868,14 @@
         }
       break;
     case 4:
-      fleet->out = !fleet->out;
+      fleet->log_down = !fleet->log_down;
       break;
     case 5:
-      fleet->fate = (enum fate)next_random (random, FATE_LATE + 1);
+      fleet->fault
+          = (enum append_fault)next_random (random, APPEND_LATE_NO_REPLY + 1);
       break;
     default:
-      if (runs (node))
+      if (is_running (node))
         {
           publish (fleet, index, cst_current_version (node->cst),
                    next_random (random, 8) > 0);
@@ -872,13 +886,13 @@
 static void
 end_faults (struct fleet *fleet)
 {
-  fleet->out = false;
-  fleet->fate = FATE_OK;
+  fleet->log_down = false;
+  fleet->fault = APPEND_OK;
   for (uint32_t i = 0; i < NODES; i++)
     {
       struct node *node = &fleet->nodes[i];
-      node->cut = false;
-      node->isolated = false;
+      node->cut_from_log = false;
+      node->cut_from_peers = false;
       node->paused = false;
       if (node->cst == NULL)
         {
@@ -892,7 +906,7 @@
 {
   for (uint32_t i = 0; i < VERSIONS_MAX; i++)
     {
-      if (g_strcmp0 (fleet->in_force[i], yaml) == 0)
+      if (g_strcmp0 (fleet->texts[i], yaml) == 0)
         {
           return true;
         }
@@ -900,9 +914,10 @@
   return false;
 }
 
-/* Publishers were told the truth, and every daemon ends with one version.  */
+/* Checks that every answer to a publisher is correct and that all daemons have
+   the same version.  */
 static void
-check_fleet (const struct fleet *fleet)
+check_final_state (const struct fleet *fleet)
 {
   for (uint32_t i = 0; i < fleet->call_count; i++)
     {
@@ -916,7 +931,7 @@
                         call->kind == ERR_NONE);
       if (call->kind == ERR_NONE)
         {
-          assert_string_equal (fleet->in_force[call->version], call->yaml);
+          assert_string_equal (fleet->texts[call->version], call->yaml);
         }
     }
   uint64_t version = cst_current_version (fleet->nodes[0].cst);
@@ -924,7 +939,7 @@
     {
       const struct cst *cst = fleet->nodes[i].cst;
       assert_int_equal (cst_current_version (cst), version);
-      assert_int_equal (cst_conflicts (cst), 0);
+      assert_int_equal (cst_conflict_count (cst), 0);
       assert_int_equal (cst_serving_allowed (cst, fleet->now_us), version > 0);
     }
 }
@@ -947,7 +962,7 @@
     }
   end_faults (fleet);
   run_fleet (fleet, 20 * S_US);
-  check_fleet (fleet);
+  check_final_state (fleet);
   fleet_destroy (fleet);
 }
 
@@ -961,21 +976,23 @@
     }
 }
 
-/* Seeds beyond the first ones that failed once.  */
-static const uint64_t kept_seeds[] = { 908 };
+/* Seeds above SCHEDULES that once exposed a fault.  */
+static const uint64_t regression_seeds[] = { 908 };
 
 static void
-kept_schedules (void **state)
+regression_schedules (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof kept_seeds / sizeof kept_seeds[0]; i++)
+  for (size_t i = 0; i < sizeof regression_seeds / sizeof regression_seeds[0];
+       i++)
     {
-      run_schedule (kept_seeds[i], SHORT_RETENTION_US);
+      run_schedule (regression_seeds[i], SHORT_RETENTION_US);
     }
 }
 
-/* A peer's copy is not used by a daemon that reads the log itself, not when it
-   is invalid, and not when it is not higher.  */
+/* Guards against a peer's copy that overrides the log: a copy is ignored while
+   the daemon itself reads the log, when the copy is invalid, and when its
+   version isn't higher.  */
 static void
 copies_from_peers (void **state)
 {
@@ -991,7 +1008,7 @@
   assert_int_equal (cst_current_version (node->cst), 1);
   run_fleet (fleet, 20 * S_US);
   assert_true (cst_serving_allowed (node->cst, fleet->now_us));
-  node->cut = true;
+  node->cut_from_log = true;
   run_fleet (fleet, 5 * S_US);
   cst_peer_config (node->cst, 5, bad, fleet->now_us, node->actions);
   cst_peer_config (node->cst, 1, good, fleet->now_us, node->actions);
@@ -1003,8 +1020,8 @@
   fleet_destroy (fleet);
 }
 
-/* After the log has lost every configuration an operator restores one with its
-   version; while one is known that is refused.  */
+/* An operator can restore a version after all configurations have expired from
+   the log, but not while the version in the log is known.  */
 static void
 restore_after_loss (void **state)
 {
@@ -1017,7 +1034,7 @@
   struct node *node = &fleet->nodes[0];
   run_fleet (fleet, S_US);
   cst_publish (node->cst, &publication, fleet->now_us, node->actions);
-  take_actions (fleet, 0);
+  perform_actions (fleet, 0);
   assert_int_equal (fleet->calls[0].kind, ERR_CONFIG_STALE_BASE);
   publish (fleet, 0, 0, true);
   run_fleet (fleet, S_US);
@@ -1036,7 +1053,7 @@
   publication.request_id = 2;
   fleet->calls[2].answers = 0;
   cst_publish (node->cst, &publication, fleet->now_us, node->actions);
-  take_actions (fleet, 0);
+  perform_actions (fleet, 0);
   run_fleet (fleet, S_US);
   assert_int_equal (fleet->calls[2].kind, ERR_NONE);
   for (uint32_t i = 0; i < NODES; i++)
@@ -1051,9 +1068,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (fault_rows),
+    cmocka_unit_test (fault_scenarios),
     cmocka_unit_test (random_schedules),
-    cmocka_unit_test (kept_schedules),
+    cmocka_unit_test (regression_schedules),
     cmocka_unit_test (copies_from_peers),
     cmocka_unit_test (restore_after_loss),
   };
