--- a/src/core/gossip.c
+++ b/src/core/gossip.c
@@ -2,120 +2,127 @@
 
 #include <string.h>
 
-/* A word is sent this often for each factor of ten in the fleet's size. */
+/* An update is sent this often per factor of ten in the number of members, but
+   at least SENDS_MIN times. */
 #define SENDS_PER_DECADE 5
 #define SENDS_MIN 12
 
-/* Words in one message at most. */
-#define WORDS_MAX 32
+/* Limit of the updates in one message. */
+#define UPDATES_MAX 32
 
+/* Returns how often an update is sent in a fleet of MEMBERS.  */
 static uint32_t
-sends_for (uint32_t members)
+sends_for_fleet (uint32_t members)
 {
   uint32_t decades = 0;
-  for (uint32_t reach = 1; reach < members + 1; reach *= 10)
+  for (uint32_t size = 1; size < members + 1; size *= 10)
     {
       decades++;
     }
   return MAX (SENDS_PER_DECADE * decades, SENDS_MIN);
 }
 
-/* Has NEWS spread: URGENT ones at once, others along with probes.  WHOLE:
-   receivers may not know the member's address.  */
+/* Schedules the member or mark that GOSSIP belongs to for sending: URGENT ones
+   at once, others along with probes.  WITH_ADDRESS is set when receivers may
+   not know the member's address.  */
 void
-gsp_announce (struct mbr_table *table, struct mbr_news *news, bool urgent,
-              bool whole)
+gsp_schedule (struct mbr_table *table, struct mbr_gossip *gossip, bool urgent,
+              bool with_address)
 {
-  const bool pending = news->sends_left > 0;
-  news->urgent = urgent || (pending && news->urgent);
-  news->whole = whole || (pending && news->whole);
-  news->sends_left = sends_for (table->count);
+  const bool pending = gossip->sends_left > 0;
+  gossip->urgent = urgent || (pending && gossip->urgent);
+  gossip->with_address = with_address || (pending && gossip->with_address);
+  gossip->sends_left = sends_for_fleet (table->count);
   table->pending += !pending;
 }
 
-/* Order in which words go into a message. */
+/* Priorities of updates, the highest one first. */
 enum priority
 {
   PRIORITY_MARK,
   PRIORITY_URGENT,
-  PRIORITY_LATER
+  PRIORITY_NORMAL
 };
 
-/* One word that waits to be sent; either a member or a mark. */
-struct item
+/* An update that waits to be sent: either a member or a mark. */
+struct candidate
 {
-  uint32_t rank; /* lower ones first */
-  struct mbr_news *news;
-  struct mbr_member *member;
-  struct mbr_mark *mark;
+  uint32_t rank; /* the lowest one is sent first */
+  struct mbr_gossip *gossip;
+  struct mbr_member *member; /* or NULL */
+  struct mbr_mark *mark;     /* or NULL */
 };
 
-/* By priority; then those first that were sent the least, so that a backlog
-   doesn't delay what is new; then refutations before suspicions.  */
+/* Ranks an update by PRIORITY, then by the number of times that it was sent,
+   so that a backlog doesn't delay new updates, then suspicions after
+   refutations.  */
 static uint32_t
-rank_of (enum priority priority, const struct mbr_news *news, bool suspicion)
+update_rank (enum priority priority, const struct mbr_gossip *gossip,
+             bool suspicion)
 {
-  return ((uint32_t)priority << 16) + ((UINT8_MAX - news->sends_left) << 1)
+  return ((uint32_t)priority << 16) + ((UINT8_MAX - gossip->sends_left) << 1)
          + suspicion;
 }
 
 static uint32_t
-rank_of_member (const struct mbr_member *member)
+member_rank (const struct mbr_member *member)
 {
   const enum priority priority
-      = member->news.urgent ? PRIORITY_URGENT : PRIORITY_LATER;
-  return rank_of (priority, &member->news, member->state == MBR_SUSPECT);
+      = member->gossip.urgent ? PRIORITY_URGENT : PRIORITY_NORMAL;
+  return update_rank (priority, &member->gossip, member->state == MBR_SUSPECT);
 }
 
-/* The words that go first, in order. */
+/* The updates with the lowest ranks, in ascending order. */
 struct selection
 {
-  struct item items[WORDS_MAX];
+  struct candidate candidates[UPDATES_MAX];
   uint32_t count;
 };
 
-/* Puts ITEM in its place, behind those of the same rank; the last one falls
-   out when there are too many.  */
+/* Inserts CANDIDATE by rank, after those of the same rank.  When SELECTION is
+   full, the last candidate is dropped.  */
 static void
-select_item (struct selection *selection, const struct item *item)
+insert_candidate (struct selection *selection,
+                  const struct candidate *candidate)
 {
-  uint32_t place = selection->count;
-  while (place > 0 && selection->items[place - 1].rank > item->rank)
+  uint32_t position = selection->count;
+  while (position > 0
+         && selection->candidates[position - 1].rank > candidate->rank)
     {
-      place--;
+      position--;
     }
-  if (place == WORDS_MAX)
+  if (position == UPDATES_MAX)
     {
       return;
     }
-  if (selection->count < WORDS_MAX)
+  if (selection->count < UPDATES_MAX)
     {
       selection->count++;
     }
-  struct item *slot = &selection->items[place];
-  const uint32_t behind = selection->count - place - 1;
-  memmove (slot + 1, slot, behind * sizeof *slot);
-  *slot = *item;
+  struct candidate *slot = &selection->candidates[position];
+  const uint32_t moved_count = selection->count - position - 1;
+  memmove (slot + 1, slot, moved_count * sizeof *slot);
+  *slot = *candidate;
 }
 
-/* Selects waiting words, starting at another member each time, so that words
-   of one rank take turns.  */
+/* Selects the updates to send next.  Each call starts at another member, so
+   that updates of the same rank take turns.  */
 static void
-select_news (struct mbr_table *table, bool urgent_only,
-             struct selection *selection)
+select_updates (struct mbr_table *table, bool urgent_only,
+                struct selection *selection)
 {
   const guint start = table->rotation++;
   for (guint i = 0; i < table->members->len; i++)
     {
       struct mbr_member *member = g_ptr_array_index (
           table->members, (start + i) % table->members->len);
-      struct mbr_news *news = &member->news;
-      if (news->sends_left > 0 && (news->urgent || !urgent_only))
+      struct mbr_gossip *gossip = &member->gossip;
+      if (gossip->sends_left > 0 && (gossip->urgent || !urgent_only))
         {
-          const struct item item = { .rank = rank_of_member (member),
-                                     .news = news,
-                                     .member = member };
-          select_item (selection, &item);
+          const struct candidate candidate = { .rank = member_rank (member),
+                                               .gossip = gossip,
+                                               .member = member };
+          insert_candidate (selection, &candidate);
         }
     }
   GHashTableIter iter;
@@ -124,13 +131,13 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       struct mbr_mark *mark = value;
-      if (mark->news.sends_left > 0)
+      if (mark->gossip.sends_left > 0)
         {
-          const struct item item
-              = { .rank = rank_of (PRIORITY_MARK, &mark->news, false),
-                  .news = &mark->news,
+          const struct candidate candidate
+              = { .rank = update_rank (PRIORITY_MARK, &mark->gossip, false),
+                  .gossip = &mark->gossip,
                   .mark = mark };
-          select_item (selection, &item);
+          insert_candidate (selection, &candidate);
         }
     }
 }
@@ -147,7 +154,8 @@
   message->marks[message->n_marks++] = mark;
 }
 
-/* Makes room for MEMBERS and MARKS more words in MESSAGE.  */
+/* Makes room in MESSAGE for further members and marks, whose numbers are
+   MEMBERS and MARKS.  */
 static void
 reserve (Peer__Membership *message, size_t members, size_t marks)
 {
@@ -169,64 +177,68 @@
                 bool with_address)
 {
   reserve (message, 1, 0);
-  append_member (message, mbr_to_message (member, with_address));
+  append_member (message, mbr_member_to_message (member, with_address));
 }
 
+/* Appends CANDIDATE to MESSAGE.  Returns its packed size in bytes.  */
 static size_t
-append_item (Peer__Membership *message, const struct item *item)
+append_update (Peer__Membership *message, const struct candidate *candidate)
 {
-  if (item->mark != NULL)
+  if (candidate->mark != NULL)
     {
-      Peer__Mark *mark = mbr_mark_to_message (&item->mark->mark);
+      Peer__Mark *mark = mbr_mark_to_message (&candidate->mark->mark);
       append_mark (message, mark);
       return peer__mark__get_packed_size (mark);
     }
-  Peer__Member *member = mbr_to_message (item->member, item->news->whole);
+  Peer__Member *member = mbr_member_to_message (
+      candidate->member, candidate->gossip->with_address);
   append_member (message, member);
   return peer__member__get_packed_size (member);
 }
 
-/* Appends waiting words to MESSAGE, up to GSP_MESSAGE_BYTES or BUDGET_BYTES,
-   and counts them as sent once more.  Marks may exceed the budget.  Returns
-   the bytes added.  */
+/* Appends scheduled updates to MESSAGE, only urgent ones and marks if
+   URGENT_ONLY, and counts them as sent once more.  Stops after
+   GSP_UPDATE_BYTES or BUDGET_BYTES, whichever is less; marks may exceed the
+   budget.  Returns the bytes added.  */
 size_t
-gsp_add_news (struct mbr_table *table, Peer__Membership *message,
-              bool urgent_only, size_t budget_bytes)
+gsp_add_updates (struct mbr_table *table, Peer__Membership *message,
+                 bool urgent_only, size_t budget_bytes)
 {
   if (table->pending == 0)
     {
       return 0;
     }
   struct selection selection = { .count = 0 };
-  select_news (table, urgent_only, &selection);
+  select_updates (table, urgent_only, &selection);
   reserve (message, selection.count, selection.count);
   size_t bytes = 0;
-  for (guint i = 0; i < selection.count && bytes < GSP_MESSAGE_BYTES; i++)
+  for (guint i = 0; i < selection.count && bytes < GSP_UPDATE_BYTES; i++)
     {
-      const struct item *item = &selection.items[i];
-      if (item->mark == NULL && bytes >= budget_bytes)
+      const struct candidate *candidate = &selection.candidates[i];
+      if (candidate->mark == NULL && bytes >= budget_bytes)
         {
           break;
         }
-      bytes += append_item (message, item);
-      item->news->sends_left -= 1;
-      table->pending -= item->news->sends_left == 0;
+      bytes += append_update (message, candidate);
+      candidate->gossip->sends_left -= 1;
+      table->pending -= candidate->gossip->sends_left == 0;
     }
   return bytes;
 }
 
-/* Appends all members and marks to MESSAGE, GSP_STATE_MAX of each at most.  */
+/* Appends all members and marks to MESSAGE, at most GSP_FULL_STATE_MAX of
+   each.  */
 void
-gsp_add_everything (const struct mbr_table *table, Peer__Membership *message)
+gsp_add_full_state (const struct mbr_table *table, Peer__Membership *message)
 {
-  const guint members = MIN (table->members->len, GSP_STATE_MAX);
-  guint marks = MIN (g_hash_table_size (table->marks), GSP_STATE_MAX);
+  const guint members = MIN (table->members->len, GSP_FULL_STATE_MAX);
+  guint marks = MIN (g_hash_table_size (table->marks), GSP_FULL_STATE_MAX);
   reserve (message, members, marks);
   for (guint i = 0; i < members; i++)
     {
       append_member (
           message,
-          mbr_to_message (g_ptr_array_index (table->members, i), true));
+          mbr_member_to_message (g_ptr_array_index (table->members, i), true));
     }
   GHashTableIter iter;
   gpointer value;
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Members and marks that one daemon holds at most. */
+/* Limits of one table; further members and marks are ignored. */
 #define MEMBERS_MAX 4096
 #define MARKS_MAX 8192
 
@@ -17,7 +17,7 @@
   g_free (member);
 }
 
-/* Creates an empty table.  */
+/* Returns an empty table.  */
 struct mbr_table *
 mbr_create (void)
 {
@@ -50,19 +50,20 @@
   return g_hash_table_lookup (table->by_name, name);
 }
 
-/* Whether MEMBER is one of the fleet as far as is known: alive or suspect.  */
+/* Returns whether MEMBER counts as part of the fleet: it is alive or suspect.
+ */
 bool
-mbr_takes_part (const struct mbr_member *member)
+mbr_is_active (const struct mbr_member *member)
 {
   return member->state == MBR_ALIVE || member->state == MBR_SUSPECT;
 }
 
-/* Only members that take part are in the digest: the others are forgotten at
-   different times.  */
+/* Returns the digest of MEMBER, 0 for an inactive one.  Inactive members must
+   not count, as daemons remove them at different times.  */
 static uint64_t
 member_digest (const struct mbr_member *member)
 {
-  if (!mbr_takes_part (member))
+  if (!mbr_is_active (member))
     {
       return 0;
     }
@@ -72,7 +73,8 @@
   return XXH3_64bits_withSeed (words, sizeof words, seed);
 }
 
-/* Withdrawn marks are forgotten at different times as well.  */
+/* Returns the digest of MARK, 0 for a withdrawn one.  Withdrawn marks must not
+   count, as daemons remove them at different times.  */
 static uint64_t
 mark_digest (const struct lv_mark *mark)
 {
@@ -85,210 +87,221 @@
   return XXH3_64bits_withSeed (words, sizeof words, seed);
 }
 
-/* Takes MEMBER out of the table's sums, before a change of it.  */
+/* Takes MEMBER out of the table's digest and counts, before MEMBER changes. */
 static void
-subtract (struct mbr_table *table, const struct mbr_member *member)
+remove_from_totals (struct mbr_table *table, const struct mbr_member *member)
 {
   table->digest ^= member_digest (member);
-  table->count -= mbr_takes_part (member);
+  table->count -= mbr_is_active (member);
   table->suspects -= member->state == MBR_SUSPECT;
 }
 
-/* Puts MEMBER back into the table's sums, after a change of it.  */
+/* Adds MEMBER to the table's digest and counts, after MEMBER has changed.  */
 static void
-add (struct mbr_table *table, const struct mbr_member *member)
+add_to_totals (struct mbr_table *table, const struct mbr_member *member)
 {
   table->digest ^= member_digest (member);
-  table->count += mbr_takes_part (member);
+  table->count += mbr_is_active (member);
   table->suspects += member->state == MBR_SUSPECT;
 }
 
-/* Puts MEMBER into STATE.  */
+/* Sets the state of MEMBER.  */
 void
 mbr_set_state (struct mbr_table *table, struct mbr_member *member,
                enum mbr_state state, int64_t now_us)
 {
-  subtract (table, member);
+  remove_from_totals (table, member);
   member->state = state;
   member->changed_at_us = now_us;
-  add (table, member);
+  add_to_totals (table, member);
 }
 
-/* Sets what MEMBER says of itself.  Only for the daemon's own member.  */
+/* Sets what MEMBER reports of itself.  Only for the daemon's own member.  */
 void
-mbr_set_facts (struct mbr_table *table, struct mbr_member *member, bool ready,
-               bool reaches_log, uint64_t config_version)
+mbr_set_attributes (struct mbr_table *table, struct mbr_member *member,
+                    bool ready, bool reaches_log, uint64_t config_version)
 {
-  subtract (table, member);
+  remove_from_totals (table, member);
   member->ready = ready;
   member->reaches_log = reaches_log;
   member->config_version = config_version;
   member->revision += 1;
-  add (table, member);
+  add_to_totals (table, member);
 }
 
-/* Raises the incarnation of MEMBER.  Only for the daemon's own member.  */
+/* Sets a higher incarnation of MEMBER.  Only for the daemon's own member.  */
 void
 mbr_set_incarnation (struct mbr_table *table, struct mbr_member *member,
                      uint64_t incarnation)
 {
-  subtract (table, member);
+  remove_from_totals (table, member);
   member->incarnation = incarnation;
   member->revision = 0;
-  add (table, member);
+  add_to_totals (table, member);
 }
 
-/* How strong a state is against another one of the same incarnation.  */
+/* Returns the precedence of STATE among updates of the same incarnation; the
+   highest one wins.  */
 static int
-rank (enum mbr_state state)
+state_precedence (enum mbr_state state)
 {
-  static const int ranks[]
+  static const int precedence[]
       = { [MBR_ALIVE] = 0, [MBR_SUSPECT] = 1, [MBR_DEAD] = 2, [MBR_LEFT] = 3 };
-  return ranks[state];
+  return precedence[state];
 }
 
+/* Takes over what the member reports of itself if UPDATE has a newer revision
+   of the same incarnation.  */
 static enum mbr_change
-merge_facts (struct mbr_table *table, struct mbr_member *member,
-             const Peer__Member *word)
+merge_attributes (struct mbr_table *table, struct mbr_member *member,
+                  const Peer__Member *update)
 {
-  if (word->incarnation != member->incarnation
-      || word->revision <= member->revision)
+  if (update->incarnation != member->incarnation
+      || update->revision <= member->revision)
     {
       return MBR_UNCHANGED;
     }
-  const bool ready_changed = member->ready != word->ready
-                             || member->reaches_log != word->reaches_log;
-  subtract (table, member);
-  member->ready = word->ready;
-  member->reaches_log = word->reaches_log;
-  member->config_version = word->config_version;
-  member->revision = word->revision;
-  add (table, member);
-  return ready_changed ? MBR_READY_CHANGED : MBR_VERSION_CHANGED;
+  const bool ready_changed = member->ready != update->ready
+                             || member->reaches_log != update->reaches_log;
+  remove_from_totals (table, member);
+  member->ready = update->ready;
+  member->reaches_log = update->reaches_log;
+  member->config_version = update->config_version;
+  member->revision = update->revision;
+  add_to_totals (table, member);
+  return ready_changed ? MBR_READINESS_CHANGED : MBR_VERSION_CHANGED;
 }
 
+/* Replaces *TEXT by REPLACEMENT unless that is empty.  */
 static void
-replace (char **text, const char *by)
+replace_text (char **text, const char *replacement)
 {
-  if (by[0] != '\0' && strcmp (*text, by) != 0)
+  if (replacement[0] != '\0' && strcmp (*text, replacement) != 0)
     {
       g_free (*text);
-      *text = g_strdup (by);
+      *text = g_strdup (replacement);
     }
 }
 
-/* Whether WORD can be taken in: names within bounds and a known state.  */
+/* Returns whether UPDATE is acceptable: a name, no string too long, and a
+   known state.  */
 static bool
-is_valid (const Peer__Member *word)
+is_valid (const Peer__Member *update)
 {
-  return word->name[0] != '\0' && strlen (word->name) < CFG_NAME_BYTES
-         && strlen (word->address) < CFG_ADDRESS_BYTES
-         && strlen (word->data_centre) < CFG_NAME_BYTES
-         && (int)word->state >= MBR_ALIVE && (int)word->state <= MBR_LEFT;
+  return update->name[0] != '\0' && strlen (update->name) < CFG_NAME_BYTES
+         && strlen (update->address) < CFG_ADDRESS_BYTES
+         && strlen (update->data_centre) < CFG_NAME_BYTES
+         && (int)update->state >= MBR_ALIVE && (int)update->state <= MBR_LEFT;
 }
 
-/* The dead are not added: they would be passed on for ever between daemons
-   that forget them at different times.  */
+/* Adds the member that UPDATE describes.  Returns NULL when UPDATE has no
+   address, the table is full, or the member is dead or has left.  Inactive
+   members are not added, or daemons that remove them at different times would
+   pass them on for ever.  */
 static struct mbr_member *
-add_member (struct mbr_table *table, const Peer__Member *word, int64_t now_us)
+add_member (struct mbr_table *table, const Peer__Member *update,
+            int64_t now_us)
 {
-  if (word->address[0] == '\0' || table->members->len >= MEMBERS_MAX
-      || word->state > PEER__MEMBER_STATE__SUSPECT)
+  if (update->address[0] == '\0' || table->members->len >= MEMBERS_MAX
+      || update->state > PEER__MEMBER_STATE__SUSPECT)
     {
       return NULL;
     }
   struct mbr_member *member = g_new0 (struct mbr_member, 1);
   *member = (struct mbr_member){
-    .name = g_strdup (word->name),
-    .address = g_strdup (word->address),
-    .data_centre = g_strdup (word->data_centre),
-    .incarnation = word->incarnation,
-    .config_version = word->config_version,
-    .revision = word->revision,
-    .state = (enum mbr_state)word->state,
-    .ready = word->ready,
-    .reaches_log = word->reaches_log,
+    .name = g_strdup (update->name),
+    .address = g_strdup (update->address),
+    .data_centre = g_strdup (update->data_centre),
+    .incarnation = update->incarnation,
+    .config_version = update->config_version,
+    .revision = update->revision,
+    .state = (enum mbr_state)update->state,
+    .ready = update->ready,
+    .reaches_log = update->reaches_log,
     .changed_at_us = now_us,
   };
   g_ptr_array_add (table->members, member);
   g_hash_table_insert (table->by_name, member->name, member);
-  add (table, member);
+  add_to_totals (table, member);
   return member;
 }
 
-/* A new incarnation may stand at another address; a word without one has to
-   wait for one that has it.  */
+/* Takes over a new incarnation of the member KNOWN.  The new process may have
+   another address, so an update without an address is ignored; one with the
+   address follows.  */
 static enum mbr_change
-merge_incarnation (struct mbr_table *table, struct mbr_member *held,
-                   const Peer__Member *word, int64_t now_us)
+merge_incarnation (struct mbr_table *table, struct mbr_member *known,
+                   const Peer__Member *update, int64_t now_us)
 {
-  if (word->address[0] == '\0')
+  if (update->address[0] == '\0')
     {
       return MBR_UNCHANGED;
     }
-  subtract (table, held);
-  held->incarnation = word->incarnation;
-  held->revision = word->revision;
-  held->ready = word->ready;
-  held->reaches_log = word->reaches_log;
-  held->config_version = word->config_version;
-  replace (&held->address, word->address);
-  replace (&held->data_centre, word->data_centre);
-  add (table, held);
-  mbr_set_state (table, held, (enum mbr_state)word->state, now_us);
+  remove_from_totals (table, known);
+  known->incarnation = update->incarnation;
+  known->revision = update->revision;
+  known->ready = update->ready;
+  known->reaches_log = update->reaches_log;
+  known->config_version = update->config_version;
+  replace_text (&known->address, update->address);
+  replace_text (&known->data_centre, update->data_centre);
+  add_to_totals (table, known);
+  mbr_set_state (table, known, (enum mbr_state)update->state, now_us);
   return MBR_STATE_CHANGED;
 }
 
-/* Merges WORD, what some daemon says of one member.  A higher incarnation
-   beats a lower one; of the same, left beats dead beats suspect beats alive.
-   What the member says of itself goes by the revision within an
-   incarnation.  Sets MEMBER to the member, NULL when it is unknown and WORD
-   has no address, or when the table is full.  */
+/* Merges UPDATE, another daemon's view of one member.  A higher incarnation
+   overrides a lower one; within an incarnation, left overrides dead, dead
+   overrides suspect, and suspect overrides alive.  What a member reports of
+   itself is ordered by revision within an incarnation.  Sets MEMBER to the
+   member, or to NULL when UPDATE is invalid or add_member rejects it.  Returns
+   what has changed.  */
 enum mbr_change
-mbr_merge (struct mbr_table *table, const Peer__Member *word, int64_t now_us,
+mbr_merge (struct mbr_table *table, const Peer__Member *update, int64_t now_us,
            struct mbr_member **member)
 {
   *member = NULL;
-  if (!is_valid (word))
+  if (!is_valid (update))
     {
       return MBR_UNCHANGED;
     }
-  *member = mbr_find (table, word->name);
+  *member = mbr_find (table, update->name);
   if (*member == NULL)
     {
-      *member = add_member (table, word, now_us);
+      *member = add_member (table, update, now_us);
       return *member != NULL ? MBR_STATE_CHANGED : MBR_UNCHANGED;
     }
-  struct mbr_member *held = *member;
-  const enum mbr_state state = (enum mbr_state)word->state;
-  if (word->incarnation < held->incarnation)
+  struct mbr_member *known = *member;
+  const enum mbr_state state = (enum mbr_state)update->state;
+  if (update->incarnation < known->incarnation)
     {
       return MBR_UNCHANGED;
     }
-  if (word->incarnation > held->incarnation)
+  if (update->incarnation > known->incarnation)
     {
-      return merge_incarnation (table, held, word, now_us);
+      return merge_incarnation (table, known, update, now_us);
     }
-  const enum mbr_change facts = merge_facts (table, held, word);
-  if (rank (state) <= rank (held->state))
+  const enum mbr_change attribute_change
+      = merge_attributes (table, known, update);
+  if (state_precedence (state) <= state_precedence (known->state))
     {
-      return facts;
+      return attribute_change;
     }
-  mbr_set_state (table, held, state, now_us);
+  mbr_set_state (table, known, state, now_us);
   return MBR_STATE_CHANGED;
 }
 
-/* Forgets the members that were dead or had left, and the marks that were
-   withdrawn, before BEFORE_US.  */
+/* Removes members that have been dead or left, and marks that have been
+   withdrawn, since before BEFORE_US.  */
 void
-mbr_forget (struct mbr_table *table, int64_t before_us)
+mbr_remove_expired (struct mbr_table *table, int64_t before_us)
 {
   for (guint i = table->members->len; i-- > 0;)
     {
       struct mbr_member *member = g_ptr_array_index (table->members, i);
-      if (!mbr_takes_part (member) && member->changed_at_us < before_us)
+      if (!mbr_is_active (member) && member->changed_at_us < before_us)
         {
-          table->pending -= member->news.sends_left > 0;
+          table->pending -= member->gossip.sends_left > 0;
           g_hash_table_remove (table->by_name, member->name);
           g_ptr_array_remove_index_fast (table->members, i);
         }
@@ -301,48 +314,50 @@
       const struct mbr_mark *mark = value;
       if (!mark->mark.leaving && mark->changed_at_us < before_us)
         {
-          table->pending -= mark->news.sends_left > 0;
+          table->pending -= mark->gossip.sends_left > 0;
           g_hash_table_iter_remove (&iter);
         }
     }
 }
 
-/* Holds MARK when it is newer than the one held of its endpoint and cause.
-   Returns it as held, or NULL when nothing changed or too many are held.  */
+/* Stores MARK when it is newer than the stored mark of the same endpoint and
+   cause.  Returns the stored mark, or NULL when MARK is not newer or the table
+   is full.  */
 struct mbr_mark *
 mbr_merge_mark (struct mbr_table *table, const struct lv_mark *mark,
                 int64_t now_us)
 {
   char *key = g_strdup_printf ("%u %s", (unsigned)mark->cause, mark->host);
-  struct mbr_mark *held = g_hash_table_lookup (table->marks, key);
-  if (held == NULL && g_hash_table_size (table->marks) < MARKS_MAX)
+  struct mbr_mark *known = g_hash_table_lookup (table->marks, key);
+  if (known == NULL && g_hash_table_size (table->marks) < MARKS_MAX)
     {
-      held = g_new0 (struct mbr_mark, 1);
-      g_hash_table_insert (table->marks, key, held);
+      known = g_new0 (struct mbr_mark, 1);
+      g_hash_table_insert (table->marks, key, known);
       key = NULL;
     }
-  else if (held != NULL && lv_mark_is_newer (mark, &held->mark))
+  else if (known != NULL && lv_mark_is_newer (mark, &known->mark))
     {
-      table->digest ^= mark_digest (&held->mark);
+      table->digest ^= mark_digest (&known->mark);
     }
   else
     {
-      held = NULL;
+      known = NULL;
     }
   g_free (key);
-  if (held != NULL)
+  if (known != NULL)
     {
-      held->mark = *mark;
-      held->changed_at_us = now_us;
+      known->mark = *mark;
+      known->changed_at_us = now_us;
       table->digest ^= mark_digest (mark);
     }
-  return held;
+  return known;
 }
 
-/* Returns MEMBER as a message, to be freed with the message that gets it.
-   WITH_ADDRESS: also what only those need that don't know the member.  */
+/* Returns MEMBER as a message, to be freed with the message that contains it.
+   WITH_ADDRESS includes the address and data centre, which only receivers that
+   do not know the member need.  */
 Peer__Member *
-mbr_to_message (const struct mbr_member *member, bool with_address)
+mbr_member_to_message (const struct mbr_member *member, bool with_address)
 {
   Peer__Member *message = g_new (Peer__Member, 1);
   peer__member__init (message);
@@ -361,7 +376,7 @@
   return message;
 }
 
-/* Returns MARK as a message, to be freed with the message that gets it.  */
+/* Returns MARK as a message, to be freed with the message that contains it. */
 Peer__Mark *
 mbr_mark_to_message (const struct lv_mark *mark)
 {
@@ -375,8 +390,8 @@
   return message;
 }
 
-/* Reads MESSAGE into MARK; false when it holds a name that is too long or a
-   cause of a later version.  */
+/* Converts MESSAGE to MARK.  Returns false when the host name is empty or too
+   long, or when the cause is unknown, as a later version may send it.  */
 bool
 mbr_mark_from_message (const Peer__Mark *message, struct lv_mark *mark)
 {
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Times that a new configuration version is sent on without being asked. */
-#define VERSION_GOSSIPS 12
+/* Number of gossip messages that announce a new configuration version. */
+#define VERSION_SENDS 12
 
 /* Queues an action of KIND; the caller fills it.  */
 struct mem_action *
@@ -15,8 +15,8 @@
   return action;
 }
 
-/* Takes the oldest queued action; false when there is none.  Clear ACTION by
-   mem_action_clear.  */
+/* Moves the oldest queued action to ACTION.  Returns false when there is none.
+   The caller frees its content by mem_action_clear.  */
 bool
 mem_next_action (struct mem_fleet *fleet, struct mem_action *action)
 {
@@ -30,7 +30,7 @@
   return true;
 }
 
-/* Frees what ACTION holds, not ACTION itself.  */
+/* Frees the content of ACTION, not ACTION itself.  */
 void
 mem_action_clear (struct mem_action *action)
 {
@@ -43,9 +43,10 @@
   *action = (struct mem_action){ .kind = action->kind };
 }
 
-/* Queues the action that tells of MEMBER.  */
+/* Queues the action that reports a change of MEMBER.  */
 void
-mem_member_changed (struct mem_fleet *fleet, const struct mbr_member *member)
+mem_queue_member_changed (struct mem_fleet *fleet,
+                          const struct mbr_member *member)
 {
   struct mem_action *action = mem_add_action (fleet, MEM_MEMBER_CHANGED);
   action->name = g_strdup (member->name);
@@ -54,22 +55,22 @@
   action->ready = member->ready;
 }
 
-/* Returns a message of KIND by this daemon, without any news.  */
+/* Returns a message of KIND from this daemon, without any updates.  */
 Peer__Membership *
-mem_message (struct mem_fleet *fleet, Peer__Membership__Kind kind,
-             uint64_t sequence)
+mem_create_message (struct mem_fleet *fleet, Peer__Membership__Kind kind,
+                    uint64_t sequence)
 {
   Peer__Membership *message = g_new (Peer__Membership, 1);
   peer__membership__init (message);
   message->kind = kind;
   message->sequence = sequence;
-  message->sender = mbr_to_message (fleet->self, true);
+  message->sender = mbr_member_to_message (fleet->self, true);
   message->config_version = fleet->self->config_version;
   message->digest = fleet->table->digest;
   return message;
 }
 
-/* Queues MESSAGE, which it takes over, for ADDRESS.  */
+/* Queues MESSAGE for ADDRESS.  The action takes ownership of MESSAGE.  */
 void
 mem_send (struct mem_fleet *fleet, const char *address,
           Peer__Membership *message)
@@ -79,25 +80,26 @@
   action->message = message;
 }
 
-/* Asks the daemon at ADDRESS for its full state.  */
+/* Requests the full state from the daemon at ADDRESS.  */
 void
 mem_send_join (struct mem_fleet *fleet, const char *address)
 {
-  mem_send (
-      fleet, address,
-      mem_message (fleet, PEER__MEMBERSHIP__KIND__JOIN, ++fleet->sequence));
+  mem_send (fleet, address,
+            mem_create_message (fleet, PEER__MEMBERSHIP__KIND__JOIN,
+                                ++fleet->sequence));
 }
 
-/* Says that this daemon is alive in an incarnation above INCARNATION.  */
+/* Refutes a report on this daemon: raises its incarnation above INCARNATION
+   and schedules the update.  */
 void
 mem_refute (struct mem_fleet *fleet, uint64_t incarnation)
 {
   mbr_set_incarnation (fleet->table, fleet->self, incarnation + 1);
-  gsp_announce (fleet->table, &fleet->self->news, true, true);
+  gsp_schedule (fleet->table, &fleet->self->gossip, true, true);
 }
 
-/* Creates the machine of one daemon.  It is alone until candidates are set.
-   Copies what SETTINGS points to.  */
+/* Creates the state of one daemon, which knows no others until
+   mem_set_candidates or a message.  Copies what SETTINGS points to.  */
 struct mem_fleet *
 mem_create (const struct mem_settings *settings, int64_t now_us)
 {
@@ -105,7 +107,7 @@
   fleet->table = mbr_create ();
   fleet->random = g_rand_new_with_seed (settings->seed);
   fleet->candidates = g_ptr_array_new_with_free_func (g_free);
-  fleet->round = g_ptr_array_new_with_free_func (g_free);
+  fleet->probe_queue = g_ptr_array_new_with_free_func (g_free);
   g_queue_init (&fleet->actions);
   Peer__Member self = PEER__MEMBER__INIT;
   self.name = (char *)settings->name;
@@ -114,15 +116,15 @@
   self.incarnation = settings->incarnation;
   mbr_merge (fleet->table, &self, now_us, &fleet->self);
   g_assert (fleet->self != NULL);
-  gsp_announce (fleet->table, &fleet->self->news, true, true);
-  fleet->ticked_at_us = now_us;
+  gsp_schedule (fleet->table, &fleet->self->gossip, true, true);
+  fleet->last_tick_us = now_us;
   fleet->next_probe_us
       = now_us + g_rand_int_range (fleet->random, 0, (gint32)MEM_PERIOD_US);
   fleet->next_gossip_us = now_us;
   fleet->next_rejoin_us = now_us;
   fleet->next_sync_us = now_us + SYNC_INTERVAL_US;
-  fleet->news_bytes = NEWS_BURST_BYTES;
-  fleet->state_bytes = STATE_BURST_BYTES;
+  fleet->update_budget_bytes = UPDATE_BURST_BYTES;
+  fleet->full_state_budget_bytes = FULL_STATE_BURST_BYTES;
   return fleet;
 }
 
@@ -143,19 +145,20 @@
     {
       g_free (fleet->probes[i].name);
     }
-  for (int i = 0; i < RELAYS_MAX; i++)
+  for (int i = 0; i < RELAYED_PINGS_MAX; i++)
     {
-      g_free (fleet->relays[i].asked_by);
+      g_free (fleet->relayed_pings[i].requester_address);
     }
   mbr_destroy (fleet->table);
   g_rand_free (fleet->random);
   g_ptr_array_free (fleet->candidates, TRUE);
-  g_ptr_array_free (fleet->round, TRUE);
+  g_ptr_array_free (fleet->probe_queue, TRUE);
   g_free (fleet);
 }
 
-/* Replaces the addresses where daemons may be found: the settings' seeds and
-   the daemons of the host list.  ADDRESSES is NULL-terminated.  */
+/* Replaces the addresses at which daemons may run: those of the settings'
+   seeds and of the daemons in the host list.  ADDRESSES is NULL-terminated or
+   NULL.  */
 void
 mem_set_candidates (struct mem_fleet *fleet, const char *const *addresses)
 {
@@ -169,7 +172,7 @@
     }
 }
 
-/* Tells the others whether this daemon is ready.  */
+/* Sets whether this daemon is ready, and schedules gossip on a change.  */
 void
 mem_set_ready (struct mem_fleet *fleet, bool ready, int64_t now_us)
 {
@@ -177,13 +180,14 @@
   struct mbr_member *self = fleet->self;
   if (self->ready != ready)
     {
-      mbr_set_facts (fleet->table, self, ready, self->reaches_log,
-                     self->config_version);
-      gsp_announce (fleet->table, &self->news, true, false);
+      mbr_set_attributes (fleet->table, self, ready, self->reaches_log,
+                          self->config_version);
+      gsp_schedule (fleet->table, &self->gossip, true, false);
     }
 }
 
-/* Tells the others whether the platform's log answers this daemon.  */
+/* Sets whether this daemon can reach the platform's log, and schedules gossip
+   on a change.  */
 void
 mem_set_reaches_log (struct mem_fleet *fleet, bool reaches_log, int64_t now_us)
 {
@@ -191,14 +195,15 @@
   struct mbr_member *self = fleet->self;
   if (self->reaches_log != reaches_log)
     {
-      mbr_set_facts (fleet->table, self, self->ready, reaches_log,
-                     self->config_version);
-      gsp_announce (fleet->table, &self->news, true, false);
+      mbr_set_attributes (fleet->table, self, self->ready, reaches_log,
+                          self->config_version);
+      gsp_schedule (fleet->table, &self->gossip, true, false);
     }
 }
 
-/* Tells the others that configuration VERSION is in force here, and some of
-   them at once, so that those that lack it ask for it.  */
+/* Sets the configuration version in force at this daemon.  Gossip announces a
+   change to some members at once, so that those with an older version request
+   it.  */
 void
 mem_set_config_version (struct mem_fleet *fleet, uint64_t version,
                         int64_t now_us)
@@ -208,27 +213,28 @@
     {
       return;
     }
-  mbr_set_facts (fleet->table, self, self->ready, self->reaches_log, version);
-  gsp_announce (fleet->table, &self->news, false, false);
-  fleet->version_gossips = VERSION_GOSSIPS;
+  mbr_set_attributes (fleet->table, self, self->ready, self->reaches_log,
+                      version);
+  gsp_schedule (fleet->table, &self->gossip, false, false);
+  fleet->version_sends = VERSION_SENDS;
   fleet->next_gossip_us = now_us;
 }
 
-/* Tells the others of MARK.  */
+/* Stores MARK and gossips it if it is newer than the stored one.  */
 void
 mem_tell_mark (struct mem_fleet *fleet, const struct lv_mark *mark,
                int64_t now_us)
 {
-  struct mbr_mark *held = mbr_merge_mark (fleet->table, mark, now_us);
-  if (held != NULL)
+  struct mbr_mark *stored = mbr_merge_mark (fleet->table, mark, now_us);
+  if (stored != NULL)
     {
-      gsp_announce (fleet->table, &held->news, true, false);
-      mem_spread (fleet);
+      gsp_schedule (fleet->table, &stored->gossip, true, false);
+      mem_gossip (fleet);
     }
 }
 
-/* Says that this daemon stops as planned.  It answers until it is destroyed,
-   and is not probed any more.  */
+/* Announces the planned shutdown of this daemon.  It still replies to messages
+   until it is destroyed, but others no longer probe it.  */
 void
 mem_leave (struct mem_fleet *fleet, int64_t now_us)
 {
@@ -237,12 +243,13 @@
       return;
     }
   mbr_set_state (fleet->table, fleet->self, MBR_LEFT, now_us);
-  gsp_announce (fleet->table, &fleet->self->news, true, true);
-  mem_spread (fleet);
+  gsp_schedule (fleet->table, &fleet->self->gossip, true, true);
+  mem_gossip (fleet);
 }
 
-/* Returns a random alive member other than this daemon and EXCEPT, or NULL.
-   Suspects get no gossip: half the fleet may be out of reach.  */
+/* Returns a random alive member other than this daemon and the one named
+   EXCEPT, which may be NULL, or NULL.  Suspects are excluded: during a
+   partition, half the fleet may be unreachable.  */
 struct mbr_member *
 mem_random_member (struct mem_fleet *fleet, const char *except)
 {
@@ -262,35 +269,38 @@
   return NULL;
 }
 
-/* Adds waiting words to MESSAGE as far as the bucket of news allows.  Returns
-   the bytes added.  */
+/* Adds scheduled updates to MESSAGE within the update budget.  Returns the
+   bytes added.  */
 size_t
-mem_add_news (struct mem_fleet *fleet, Peer__Membership *message,
-              bool urgent_only)
+mem_add_updates (struct mem_fleet *fleet, Peer__Membership *message,
+                 bool urgent_only)
 {
-  const size_t budget = (size_t)MAX (fleet->news_bytes, 0);
+  const size_t budget = (size_t)MAX (fleet->update_budget_bytes, 0);
   const size_t bytes
-      = gsp_add_news (fleet->table, message, urgent_only, budget);
-  fleet->news_bytes -= (int64_t)bytes;
+      = gsp_add_updates (fleet->table, message, urgent_only, budget);
+  fleet->update_budget_bytes -= (int64_t)bytes;
   return bytes;
 }
 
+/* Refills the token buckets for the time ELAPSED_US.  */
 static void
-fill_buckets (struct mem_fleet *fleet, int64_t elapsed_us)
+refill_budgets (struct mem_fleet *fleet, int64_t elapsed_us)
 {
-  const int64_t news = elapsed_us * NEWS_BYTES_PER_S / MEM_PERIOD_US;
-  const int64_t state = elapsed_us * STATE_BYTES_PER_S / MEM_PERIOD_US;
-  fleet->news_bytes = MIN (fleet->news_bytes + news, NEWS_BURST_BYTES);
-  fleet->state_bytes = MIN (fleet->state_bytes + state, STATE_BURST_BYTES);
+  const int64_t updates = elapsed_us * UPDATE_BYTES_PER_S / MEM_PERIOD_US;
+  const int64_t state = elapsed_us * FULL_STATE_BYTES_PER_S / MEM_PERIOD_US;
+  fleet->update_budget_bytes
+      = MIN (fleet->update_budget_bytes + updates, UPDATE_BURST_BYTES);
+  fleet->full_state_budget_bytes
+      = MIN (fleet->full_state_budget_bytes + state, FULL_STATE_BURST_BYTES);
 }
 
-/* Sends the urgent news to MEM_GOSSIP_FANOUT random members.  */
+/* Sends urgent updates to up to MEM_GOSSIP_FANOUT random members.  */
 void
-mem_spread (struct mem_fleet *fleet)
+mem_gossip (struct mem_fleet *fleet)
 {
   for (int i = 0; i < MEM_GOSSIP_FANOUT; i++)
     {
-      const bool has_version = fleet->version_gossips > 0;
+      const bool has_version = fleet->version_sends > 0;
       if (fleet->table->pending == 0 && !has_version)
         {
           return;
@@ -301,22 +311,22 @@
           return;
         }
       Peer__Membership *message
-          = mem_message (fleet, PEER__MEMBERSHIP__KIND__GOSSIP, 0);
-      if (mem_add_news (fleet, message, true) == 0 && !has_version)
+          = mem_create_message (fleet, PEER__MEMBERSHIP__KIND__GOSSIP, 0);
+      if (mem_add_updates (fleet, message, true) == 0 && !has_version)
         {
           peer__membership__free_unpacked (message, NULL);
           return;
         }
-      fleet->version_gossips -= has_version;
+      fleet->version_sends -= has_version;
       mem_send (fleet, member->address, message);
     }
 }
 
-/* Returns the addresses, borrowed, where a daemon may be that isn't known to
-   take part: those of dead members, then from index UNKNOWN on those of
-   candidates that are no members.  */
+/* Returns addresses, borrowed, of daemons that may have to be reconnected:
+   first those of dead members, then, from index FIRST_CANDIDATE on, candidates
+   that no member has.  */
 static GPtrArray *
-addresses_to_try (struct mem_fleet *fleet, guint *unknown)
+list_rejoin_addresses (struct mem_fleet *fleet, guint *first_candidate)
 {
   GPtrArray *addresses = g_ptr_array_new ();
   GHashTable *known = g_hash_table_new (g_str_hash, g_str_equal);
@@ -329,7 +339,7 @@
           g_ptr_array_add (addresses, member->address);
         }
     }
-  *unknown = addresses->len;
+  *first_candidate = addresses->len;
   for (guint i = 0; i < fleet->candidates->len; i++)
     {
       char *address = fleet->candidates->pdata[i];
@@ -342,24 +352,25 @@
   return addresses;
 }
 
-/* Tries one such address.  A dead member that answers says whether it holds
-   this daemon dead as well, this daemon refutes, and so both sides of a healed
-   partition merge.  A candidate is asked for the full state.  */
+/* Contacts one such address at random.  A dead member that is pinged replies
+   with its view of this daemon.  If that is outdated, this daemon refutes, so
+   that both sides of a healed partition merge.  A candidate is asked for its
+   full state.  */
 static void
 rejoin (struct mem_fleet *fleet)
 {
-  guint unknown;
-  GPtrArray *addresses = addresses_to_try (fleet, &unknown);
+  guint first_candidate;
+  GPtrArray *addresses = list_rejoin_addresses (fleet, &first_candidate);
   if (addresses->len > 0)
     {
       const guint chosen
           = (guint)g_rand_int_range (fleet->random, 0, (gint32)addresses->len);
       const char *address = addresses->pdata[chosen];
-      if (chosen < unknown)
+      if (chosen < first_candidate)
         {
           mem_send (fleet, address,
-                    mem_message (fleet, PEER__MEMBERSHIP__KIND__PING,
-                                 ++fleet->sequence));
+                    mem_create_message (fleet, PEER__MEMBERSHIP__KIND__PING,
+                                        ++fleet->sequence));
         }
       else
         {
@@ -369,23 +380,24 @@
   g_ptr_array_free (addresses, TRUE);
 }
 
-/* Time between two tries: short until the first full state, and while dead
-   members return.  */
+/* Returns the mean time between two attempts to rejoin.  It is short until the
+   first full state has arrived, and while dead members return.  */
 static int64_t
 rejoin_interval_us (const struct mem_fleet *fleet, int64_t now_us)
 {
   const bool returning
-      = fleet->returned_at_us != 0
-        && now_us - fleet->returned_at_us < REJOIN_INTERVAL_US;
+      = fleet->last_return_us != 0
+        && now_us - fleet->last_return_us < REJOIN_INTERVAL_US;
   return fleet->joined && !returning ? REJOIN_INTERVAL_US : MEM_PERIOD_US;
 }
 
-/* When this process did not run for long, what it waited for may have come
-   meanwhile: nobody is blamed for that time.  */
+/* When this process was suspended, acknowledgements and refutations may have
+   arrived meanwhile.  Drops the probes in flight and restarts the time-outs of
+   suspicions, so that no member is blamed for the pause.  */
 static void
-excuse_pause (struct mem_fleet *fleet, int64_t now_us)
+compensate_pause (struct mem_fleet *fleet, int64_t now_us)
 {
-  const int64_t pause_us = now_us - fleet->ticked_at_us;
+  const int64_t pause_us = now_us - fleet->last_tick_us;
   if (pause_us < 2 * MEM_PERIOD_US)
     {
       return;
@@ -404,14 +416,14 @@
     }
 }
 
-/* Does what is due at NOW_US.  Returns the time of the next call, at most
-   MEM_GOSSIP_INTERVAL_US ahead.  */
+/* Performs what is due at NOW_US.  Returns when to call next, at most
+   MEM_GOSSIP_INTERVAL_US later.  */
 int64_t
 mem_tick (struct mem_fleet *fleet, int64_t now_us)
 {
-  excuse_pause (fleet, now_us);
-  fill_buckets (fleet, now_us - fleet->ticked_at_us);
-  fleet->ticked_at_us = now_us;
+  compensate_pause (fleet, now_us);
+  refill_budgets (fleet, now_us - fleet->last_tick_us);
+  fleet->last_tick_us = now_us;
   mem_check_probes (fleet, now_us);
   mem_check_suspicions (fleet, now_us);
   const bool leaving = fleet->self->state == MBR_LEFT;
@@ -427,24 +439,25 @@
           = now_us + interval_us / 2
             + g_rand_int_range (fleet->random, 0, (gint32)interval_us);
       rejoin (fleet);
-      mbr_forget (fleet->table, now_us - FORGET_AFTER_US);
+      mbr_remove_expired (fleet->table, now_us - EXPIRE_AFTER_US);
     }
   if (now_us >= fleet->next_gossip_us)
     {
       fleet->next_gossip_us = now_us + MEM_GOSSIP_INTERVAL_US;
-      mem_spread (fleet);
+      mem_gossip (fleet);
     }
   return MIN (fleet->next_gossip_us, fleet->next_probe_us);
 }
 
-/* How many daemons take part, this one included.  */
+/* Returns the number of active members, alive or suspect, this daemon
+   included.  */
 uint32_t
 mem_alive_count (const struct mem_fleet *fleet)
 {
   return fleet->table->count;
 }
 
-/* How many alive daemons are ready.  */
+/* Returns the number of active members that are ready.  */
 uint32_t
 mem_ready_count (const struct mem_fleet *fleet)
 {
@@ -452,12 +465,13 @@
   for (uint32_t i = 0; i < fleet->table->members->len; i++)
     {
       const struct mbr_member *member = fleet->table->members->pdata[i];
-      count += mbr_takes_part (member) && member->ready;
+      count += mbr_is_active (member) && member->ready;
     }
   return count;
 }
 
-/* How many other alive daemons the platform's log answers.  */
+/* Returns the number of other alive members that can reach the platform's log.
+ */
 uint32_t
 mem_reaching_log_count (const struct mem_fleet *fleet)
 {
@@ -471,7 +485,8 @@
   return count;
 }
 
-/* In how many daemons configuration VERSION or a later one is in force.  */
+/* Returns the number of active members at which configuration VERSION or a
+   later one is in force.  */
 uint32_t
 mem_in_force_count (const struct mem_fleet *fleet, uint64_t version)
 {
@@ -479,20 +494,22 @@
   for (uint32_t i = 0; i < fleet->table->members->len; i++)
     {
       const struct mbr_member *member = fleet->table->members->pdata[i];
-      count += mbr_takes_part (member) && member->config_version >= version;
+      count += mbr_is_active (member) && member->config_version >= version;
     }
   return count;
 }
 
-/* Returns the member NAME, or NULL; valid until the next event.  */
+/* Returns the member NAME, or NULL.  The pointer is valid until the next call
+   that changes FLEET.  */
 const struct mbr_member *
 mem_find (const struct mem_fleet *fleet, const char *name)
 {
   return mbr_find (fleet->table, name);
 }
 
-/* Returns member INDEX, this daemon, dead and left ones included, or NULL
-   past the last; valid until the next event.  */
+/* Returns member INDEX, or NULL past the last.  This daemon and dead or left
+   members are included.  The pointer is valid until the next call that changes
+   FLEET.  */
 const struct mbr_member *
 mem_member_at (const struct mem_fleet *fleet, uint32_t index)
 {
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,6 +1,10 @@
-/* Membership of the daemons: a deterministic machine.  Each daemon probes one
-   random other a period, asks others to probe it before suspecting it,
-   suspects before it declares dead, and spreads what it learns by gossip.  */
+/* Membership and failure detection among the daemons, by a SWIM-like protocol.
+   Once in each period a daemon probes another one at random.  When no
+   acknowledgement arrives, it asks other members to probe the target.  When
+   that fails as well, it suspects the target, and declares it dead unless the
+   target refutes in time.  Changes are disseminated by gossip.  The protocol
+   is a deterministic state machine without I/O: callers pass in messages and
+   the time, and perform the queued actions.  */
 #ifndef CORE_MEMBERSHIP_H
 #define CORE_MEMBERSHIP_H
 
@@ -11,32 +15,32 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define MEM_PERIOD_US INT64_C (1000000)
-#define MEM_PROBE_TIMEOUT_US INT64_C (500000)
+#define MEM_PERIOD_US INT64_C (1000000)       /* between two probes */
+#define MEM_PROBE_TIMEOUT_US INT64_C (500000) /* until indirect probes */
 #define MEM_GOSSIP_INTERVAL_US INT64_C (200000)
-#define MEM_GOSSIP_FANOUT 3
+#define MEM_GOSSIP_FANOUT 3 /* members that one round of gossip is sent to */
 
 struct mem_settings
 {
   const char *name;
-  const char *address; /* where this daemon's peers reach it, IP:PORT */
+  const char *address; /* at which peers reach this daemon, IP:PORT */
   const char *data_centre;
-  uint64_t incarnation; /* above those of earlier processes of that name, for
-                           instance the time of its start */
-  uint32_t seed;
+  uint64_t incarnation; /* higher than that of any earlier process of this
+                           name, for instance its start time */
+  uint32_t seed;        /* of the random number generator */
 };
 
 enum mem_action_kind
 {
-  MEM_SEND,           /* ADDRESS, MESSAGE */
-  MEM_MEMBER_CHANGED, /* NAME, ADDRESS, STATE, READY */
-  MEM_MARK_LEARNT,    /* MARK, by a peer */
+  MEM_SEND,           /* send MESSAGE to ADDRESS */
+  MEM_MEMBER_CHANGED, /* NAME at ADDRESS now has STATE and READY */
+  MEM_MARK_LEARNT,    /* a peer has sent a newer MARK */
   MEM_NEWER_CONFIG,   /* CONFIG_VERSION is in force at ADDRESS */
-  MEM_NAME_CONFLICT   /* another process at ADDRESS goes by this NAME */
+  MEM_NAME_CONFLICT   /* another process at ADDRESS uses this NAME */
 };
 
-/* What the shell has to do.  Strings and MESSAGE belong to the action and are
-   freed by mem_action_clear. */
+/* What the caller has to do.  The action owns its strings and MESSAGE;
+   mem_action_clear frees them. */
 struct mem_action
 {
   enum mem_action_kind kind;
--- a/src/core/membership_probe.c
+++ b/src/core/membership_probe.c
@@ -1,4 +1,4 @@
-/* How the membership machine finds members that no longer answer. */
+/* Failure detection: probes, indirect probes and suspicions. */
 #include "core/membership_private.h"
 
 static uint32_t
@@ -12,15 +12,15 @@
   return bits;
 }
 
-/* How long a suspicion may be refuted; grows with the time that gossip takes
-   through the fleet.  */
+/* Returns how long a suspected member may refute.  Grows with the time that
+   gossip takes to reach the whole fleet.  */
 static int64_t
-suspicion_us (const struct mem_fleet *fleet)
+suspicion_timeout_us (const struct mem_fleet *fleet)
 {
   return MEM_PERIOD_US * (3 + log2_ceil (fleet->table->count));
 }
 
-/* Ends the probe SEQUENCE as answered.  */
+/* Ends the probe SEQUENCE: the target has acknowledged.  */
 void
 mem_probe_answered (struct mem_fleet *fleet, uint64_t sequence)
 {
@@ -34,51 +34,54 @@
     }
 }
 
-/* Fills the round with every member that takes part, in random order.  */
+/* Fills the probe queue with all other active members in random order.  */
 static void
-fill_round (struct mem_fleet *fleet)
+fill_probe_queue (struct mem_fleet *fleet)
 {
   const GPtrArray *members = fleet->table->members;
   for (guint i = 0; i < members->len; i++)
     {
       const struct mbr_member *member = g_ptr_array_index (members, i);
-      if (member == fleet->self || !mbr_takes_part (member))
+      if (member == fleet->self || !mbr_is_active (member))
         {
           continue;
         }
-      g_ptr_array_add (fleet->round, g_strdup (member->name));
-      const guint last = fleet->round->len - 1;
+      g_ptr_array_add (fleet->probe_queue, g_strdup (member->name));
+      const guint last = fleet->probe_queue->len - 1;
       const guint other
           = (guint)g_rand_int_range (fleet->random, 0, (gint32)last + 1);
-      gpointer name = fleet->round->pdata[other];
-      fleet->round->pdata[other] = fleet->round->pdata[last];
-      fleet->round->pdata[last] = name;
+      gpointer name = fleet->probe_queue->pdata[other];
+      fleet->probe_queue->pdata[other] = fleet->probe_queue->pdata[last];
+      fleet->probe_queue->pdata[last] = name;
     }
 }
 
-/* Returns the next member of the round, NULL when this daemon is alone.  */
+/* Returns the next member to probe, or NULL when there is no other active
+   member.  */
 static struct mbr_member *
-next_to_probe (struct mem_fleet *fleet)
+next_probe_target (struct mem_fleet *fleet)
 {
   for (int rounds = 0; rounds < 2; rounds++)
     {
-      while (fleet->round->len > 0)
+      while (fleet->probe_queue->len > 0)
         {
-          const char *name
-              = g_ptr_array_index (fleet->round, fleet->round->len - 1);
+          const char *name = g_ptr_array_index (fleet->probe_queue,
+                                                fleet->probe_queue->len - 1);
           struct mbr_member *member = mbr_find (fleet->table, name);
-          g_ptr_array_set_size (fleet->round, (gint)fleet->round->len - 1);
-          if (member != NULL && mbr_takes_part (member))
+          g_ptr_array_set_size (fleet->probe_queue,
+                                (gint)fleet->probe_queue->len - 1);
+          if (member != NULL && mbr_is_active (member))
             {
               return member;
             }
         }
-      fill_round (fleet);
+      fill_probe_queue (fleet);
     }
   return NULL;
 }
 
-/* Pings the next member of the round.  */
+/* Pings the next member of the probe queue, unless PROBES_MAX probes are in
+   flight.  */
 void
 mem_start_probe (struct mem_fleet *fleet, int64_t now_us)
 {
@@ -88,7 +91,7 @@
       probe = fleet->probes[i].sequence == 0 ? &fleet->probes[i] : NULL;
     }
   const struct mbr_member *member
-      = probe != NULL ? next_to_probe (fleet) : NULL;
+      = probe != NULL ? next_probe_target (fleet) : NULL;
   if (member == NULL)
     {
       return;
@@ -97,16 +100,17 @@
   *probe = (struct probe){ .sequence = ++fleet->sequence,
                            .name = g_strdup (member->name),
                            .sent_at_us = now_us };
-  Peer__Membership *message
-      = mem_message (fleet, PEER__MEMBERSHIP__KIND__PING, probe->sequence);
+  Peer__Membership *message = mem_create_message (
+      fleet, PEER__MEMBERSHIP__KIND__PING, probe->sequence);
   if (member->state == MBR_SUSPECT)
     {
       gsp_add_member (message, member, true);
     }
-  mem_add_news (fleet, message, false);
+  mem_add_updates (fleet, message, false);
   mem_send (fleet, member->address, message);
 }
 
+/* Asks up to INDIRECT_PROBES random members to ping the target of PROBE.  */
 static void
 probe_indirectly (struct mem_fleet *fleet, struct probe *probe)
 {
@@ -119,13 +123,14 @@
         {
           return;
         }
-      Peer__Membership *message = mem_message (
+      Peer__Membership *message = mem_create_message (
           fleet, PEER__MEMBERSHIP__KIND__PING_REQUEST, probe->sequence);
       message->target_address = g_strdup (target->address);
       mem_send (fleet, other->address, message);
     }
 }
 
+/* Ends PROBE without an acknowledgement and suspects its target.  */
 static void
 fail_probe (struct mem_fleet *fleet, struct probe *probe, int64_t now_us)
 {
@@ -134,12 +139,14 @@
   if (member != NULL && member->state == MBR_ALIVE)
     {
       mbr_set_state (fleet->table, member, MBR_SUSPECT, now_us);
-      gsp_announce (fleet->table, &member->news, true, true);
-      mem_member_changed (fleet, member);
+      gsp_schedule (fleet->table, &member->gossip, true, true);
+      mem_queue_member_changed (fleet, member);
     }
 }
 
-/* Asks others to ping where an answer is late; suspects where none came.  */
+/* Probes indirectly where no acknowledgement arrived within
+   MEM_PROBE_TIMEOUT_US, and suspects where none arrived within
+   PROBE_DEADLINE_US.  */
 void
 mem_check_probes (struct mem_fleet *fleet, int64_t now_us)
 {
@@ -159,7 +166,7 @@
     }
 }
 
-/* Declares suspected members dead that did not refute in time.  */
+/* Declares dead the suspected members that did not refute in time.  */
 void
 mem_check_suspicions (struct mem_fleet *fleet, int64_t now_us)
 {
@@ -167,16 +174,16 @@
     {
       return;
     }
-  const int64_t bound_us = suspicion_us (fleet);
+  const int64_t timeout_us = suspicion_timeout_us (fleet);
   const GPtrArray *members = fleet->table->members;
   for (guint i = 0; i < members->len; i++)
     {
       struct mbr_member *member = g_ptr_array_index (members, i);
       if (member->state == MBR_SUSPECT
-          && now_us - member->changed_at_us >= bound_us)
+          && now_us - member->changed_at_us >= timeout_us)
         {
           mbr_set_state (fleet->table, member, MBR_DEAD, now_us);
-          mem_member_changed (fleet, member);
+          mem_queue_member_changed (fleet, member);
         }
     }
 }
--- a/src/core/membership_receive.c
+++ b/src/core/membership_receive.c
@@ -1,68 +1,73 @@
-/* What the membership machine does with a message of a peer. */
+/* Handles membership messages from peers. */
 #include "core/membership_private.h"
 
 #include <string.h>
 
-/* Answers a word on this daemon itself.  A word that isn't "alive", or one of
-   an earlier process that counted further, is refuted.  */
+/* Handles an update on this daemon itself.  Refutes when the update says that
+   this daemon is not alive, or has a higher incarnation, left by an earlier
+   process of this name.  */
 static void
-hear_of_self (struct mem_fleet *fleet, const Peer__Member *word)
+handle_update_on_self (struct mem_fleet *fleet, const Peer__Member *update)
 {
   const struct mbr_member *self = fleet->self;
-  if (word->address[0] != '\0' && strcmp (word->address, self->address) != 0
-      && word->state == PEER__MEMBER_STATE__ALIVE
-      && word->incarnation >= self->incarnation)
+  if (update->address[0] != '\0'
+      && strcmp (update->address, self->address) != 0
+      && update->state == PEER__MEMBER_STATE__ALIVE
+      && update->incarnation >= self->incarnation)
     {
       struct mem_action *action = mem_add_action (fleet, MEM_NAME_CONFLICT);
-      action->name = g_strdup (word->name);
-      action->address = g_strdup (word->address);
+      action->name = g_strdup (update->name);
+      action->address = g_strdup (update->address);
     }
   if (self->state == MBR_LEFT)
     {
       return;
     }
-  if (word->incarnation > self->incarnation
-      || (word->incarnation == self->incarnation
-          && word->state != PEER__MEMBER_STATE__ALIVE))
+  if (update->incarnation > self->incarnation
+      || (update->incarnation == self->incarnation
+          && update->state != PEER__MEMBER_STATE__ALIVE))
     {
-      mem_refute (fleet, word->incarnation);
+      mem_refute (fleet, update->incarnation);
     }
 }
 
-/* That others hold a member dead isn't taken over: they may be cut off from
-   it.  It is the next one that is probed.  */
+/* Handles a report that a member is dead.  The reporter may be partitioned
+   from that member, so this daemon does not adopt the report but probes the
+   member next.  */
 static void
-hear_of_death (struct mem_fleet *fleet, const Peer__Member *word)
+handle_reported_death (struct mem_fleet *fleet, const Peer__Member *update)
 {
-  const struct mbr_member *held = mbr_find (fleet->table, word->name);
-  if (held != NULL && held->state == MBR_ALIVE
-      && held->incarnation == word->incarnation)
+  const struct mbr_member *known = mbr_find (fleet->table, update->name);
+  if (known != NULL && known->state == MBR_ALIVE
+      && known->incarnation == update->incarnation)
     {
-      g_ptr_array_add (fleet->round, g_strdup (word->name));
+      g_ptr_array_add (fleet->probe_queue, g_strdup (update->name));
     }
 }
 
-/* Merges one word.  Each daemon gives a suspected member the time to refute
-   and declares it dead by itself.  */
+/* Merges UPDATE.  FULL_STATE is set for updates from a full state; those of
+   the first full state are not gossiped further, except on suspects.  Each
+   daemon itself waits for a suspected member to refute and declares it dead.
+ */
 static void
-merge_word (struct mem_fleet *fleet, const Peer__Member *word, bool full_state,
-            int64_t now_us)
+merge_update (struct mem_fleet *fleet, const Peer__Member *update,
+              bool full_state, int64_t now_us)
 {
-  if (strcmp (word->name, fleet->self->name) == 0)
+  if (strcmp (update->name, fleet->self->name) == 0)
     {
-      hear_of_self (fleet, word);
+      handle_update_on_self (fleet, update);
       return;
     }
-  if (word->state == PEER__MEMBER_STATE__DEAD)
+  if (update->state == PEER__MEMBER_STATE__DEAD)
     {
-      hear_of_death (fleet, word);
+      handle_reported_death (fleet, update);
       return;
     }
-  const struct mbr_member *held = mbr_find (fleet->table, word->name);
-  const bool was_dead = held != NULL && held->state == MBR_DEAD;
+  const struct mbr_member *known = mbr_find (fleet->table, update->name);
+  const bool was_dead = known != NULL && known->state == MBR_DEAD;
   struct mbr_member *member;
   const enum mbr_change change
-      = mbr_merge (fleet->table, word, now_us, &member);
+      = mbr_merge (fleet->table, update, now_us, &member);
   if (change == MBR_UNCHANGED)
     {
       return;
@@ -70,16 +75,17 @@
   const bool first_state = full_state && !fleet->joined;
   if (!first_state || member->state == MBR_SUSPECT)
     {
-      gsp_announce (fleet->table, &member->news, change != MBR_VERSION_CHANGED,
+      gsp_schedule (fleet->table, &member->gossip,
+                    change != MBR_VERSION_CHANGED,
                     change == MBR_STATE_CHANGED);
     }
   if (change != MBR_VERSION_CHANGED)
     {
-      mem_member_changed (fleet, member);
+      mem_queue_member_changed (fleet, member);
     }
-  if (was_dead && mbr_takes_part (member))
+  if (was_dead && mbr_is_active (member))
     {
-      fleet->returned_at_us = now_us;
+      fleet->last_return_us = now_us;
       fleet->next_rejoin_us
           = MIN (fleet->next_rejoin_us, now_us + MEM_PERIOD_US / 2);
     }
@@ -89,50 +95,51 @@
 merge_marks (struct mem_fleet *fleet, const Peer__Membership *message,
              int64_t now_us)
 {
-  bool learnt = false;
+  bool any_new = false;
   for (size_t i = 0; i < message->n_marks; i++)
     {
       struct lv_mark mark;
-      struct mbr_mark *held = NULL;
+      struct mbr_mark *known = NULL;
       if (mbr_mark_from_message (message->marks[i], &mark))
         {
-          held = mbr_merge_mark (fleet->table, &mark, now_us);
+          known = mbr_merge_mark (fleet->table, &mark, now_us);
         }
-      if (held != NULL)
+      if (known != NULL)
         {
           mem_add_action (fleet, MEM_MARK_LEARNT)->mark = mark;
-          gsp_announce (fleet->table, &held->news, true, false);
-          learnt = true;
+          gsp_schedule (fleet->table, &known->gossip, true, false);
+          any_new = true;
         }
     }
-  if (learnt)
+  if (any_new)
     {
-      mem_spread (fleet);
+      mem_gossip (fleet);
     }
 }
 
-/* Tells the sender when it is held not to be alive, or in a later incarnation
-   than its own, so that it refutes.
-   Returns REPLY, a new message when it was NULL and there is a need.  */
+/* Informs SENDER, so that it refutes, when this daemon does not regard it as
+   alive or knows it by a higher incarnation.  Returns REPLY, or a new message
+   if REPLY was NULL and one is needed.  */
 static Peer__Membership *
-add_claim_on_sender (struct mem_fleet *fleet, const Peer__Member *sender,
-                     Peer__Membership *reply)
+add_correction_for_sender (struct mem_fleet *fleet, const Peer__Member *sender,
+                           Peer__Membership *reply)
 {
-  const struct mbr_member *held = mbr_find (fleet->table, sender->name);
-  if (held == NULL || sender->state != PEER__MEMBER_STATE__ALIVE
-      || (held->state == MBR_ALIVE
-          && held->incarnation <= sender->incarnation))
+  const struct mbr_member *known = mbr_find (fleet->table, sender->name);
+  if (known == NULL || sender->state != PEER__MEMBER_STATE__ALIVE
+      || (known->state == MBR_ALIVE
+          && known->incarnation <= sender->incarnation))
     {
       return reply;
     }
   if (reply == NULL)
     {
-      reply = mem_message (fleet, PEER__MEMBERSHIP__KIND__GOSSIP, 0);
+      reply = mem_create_message (fleet, PEER__MEMBERSHIP__KIND__GOSSIP, 0);
     }
-  gsp_add_member (reply, held, true);
+  gsp_add_member (reply, known, true);
   return reply;
 }
 
+/* Pings the requested address on behalf of the sender.  */
 static void
 relay_ping (struct mem_fleet *fleet, const Peer__Membership *message)
 {
@@ -140,65 +147,71 @@
     {
       return;
     }
-  struct relay *relay = &fleet->relays[fleet->next_relay];
-  fleet->next_relay = (fleet->next_relay + 1) % RELAYS_MAX;
-  g_free (relay->asked_by);
-  relay->asked_by = g_strdup (message->sender->address);
-  relay->asked_sequence = message->sequence;
-  relay->sequence = ++fleet->sequence;
-  mem_send (
-      fleet, message->target_address,
-      mem_message (fleet, PEER__MEMBERSHIP__KIND__PING, relay->sequence));
+  struct relayed_ping *ping = &fleet->relayed_pings[fleet->next_relayed_ping];
+  fleet->next_relayed_ping
+      = (fleet->next_relayed_ping + 1) % RELAYED_PINGS_MAX;
+  g_free (ping->requester_address);
+  ping->requester_address = g_strdup (message->sender->address);
+  ping->requester_sequence = message->sequence;
+  ping->sequence = ++fleet->sequence;
+  mem_send (fleet, message->target_address,
+            mem_create_message (fleet, PEER__MEMBERSHIP__KIND__PING,
+                                ping->sequence));
 }
 
+/* Forwards the acknowledgement of a relayed ping to its requester, or ends a
+   probe of this daemon.  */
 static void
-take_ack (struct mem_fleet *fleet, const Peer__Membership *message)
+handle_ack (struct mem_fleet *fleet, const Peer__Membership *message)
 {
-  for (int i = 0; i < RELAYS_MAX; i++)
+  for (int i = 0; i < RELAYED_PINGS_MAX; i++)
     {
-      struct relay *relay = &fleet->relays[i];
-      if (relay->sequence != 0 && relay->sequence == message->sequence)
+      struct relayed_ping *ping = &fleet->relayed_pings[i];
+      if (ping->sequence != 0 && ping->sequence == message->sequence)
         {
-          mem_send (fleet, relay->asked_by,
-                    mem_message (fleet, PEER__MEMBERSHIP__KIND__ACK,
-                                 relay->asked_sequence));
-          relay->sequence = 0;
+          mem_send (fleet, ping->requester_address,
+                    mem_create_message (fleet, PEER__MEMBERSHIP__KIND__ACK,
+                                        ping->requester_sequence));
+          ping->sequence = 0;
           return;
         }
     }
   mem_probe_answered (fleet, message->sequence);
 }
 
-/* Sends the full state unless the bucket of full states is empty; whoever
-   asked will ask another daemon.  */
+/* Sends the full state unless its budget is used up; the requester then asks
+   another daemon.  */
 static void
-send_state (struct mem_fleet *fleet, const char *address, uint64_t sequence)
+send_full_state (struct mem_fleet *fleet, const char *address,
+                 uint64_t sequence)
 {
-  if (fleet->state_bytes <= 0)
+  if (fleet->full_state_budget_bytes <= 0)
     {
       return;
     }
   Peer__Membership *message
-      = mem_message (fleet, PEER__MEMBERSHIP__KIND__SYNC, sequence);
-  gsp_add_everything (fleet->table, message);
-  fleet->state_bytes -= (int64_t)peer__membership__get_packed_size (message);
+      = mem_create_message (fleet, PEER__MEMBERSHIP__KIND__SYNC, sequence);
+  gsp_add_full_state (fleet->table, message);
+  fleet->full_state_budget_bytes
+      -= (int64_t)peer__membership__get_packed_size (message);
   mem_send (fleet, address, message);
 }
 
-/* A full state that answers a request is answered by this daemon's own when
-   the sender lacks something; SEQUENCE 0 ends the exchange.  */
+/* Handles a full state after it was merged.  A reply to this daemon's request
+   has SEQUENCE set; if the sender lacks something, this daemon sends its own
+   state, with SEQUENCE 0 to end the exchange.  */
 static void
-take_state (struct mem_fleet *fleet, const Peer__Membership *message)
+handle_full_state (struct mem_fleet *fleet, const Peer__Membership *message)
 {
   fleet->joined = true;
   if (message->sequence != 0 && message->digest != fleet->table->digest)
     {
-      send_state (fleet, message->sender->address, 0);
+      send_full_state (fleet, message->sender->address, 0);
     }
 }
 
-/* Asks for the full state when the sender knows other things and gossip on
-   this side has come to rest.  */
+/* Requests the full state of the sender when its digest differs and this
+   daemon has no scheduled gossip left that could explain the difference.  */
 static void
 compare_digests (struct mem_fleet *fleet, const Peer__Membership *message,
                  int64_t now_us)
@@ -215,44 +228,44 @@
 }
 
 static void
-answer (struct mem_fleet *fleet, const Peer__Membership *message,
-        int64_t now_us)
+reply_to_message (struct mem_fleet *fleet, const Peer__Membership *message,
+                  int64_t now_us)
 {
   const char *address = message->sender->address;
   Peer__Membership *reply = NULL;
   switch (message->kind)
     {
     case PEER__MEMBERSHIP__KIND__PING:
-      reply = mem_message (fleet, PEER__MEMBERSHIP__KIND__ACK,
-                           message->sequence);
-      mem_add_news (fleet, reply, false);
+      reply = mem_create_message (fleet, PEER__MEMBERSHIP__KIND__ACK,
+                                  message->sequence);
+      mem_add_updates (fleet, reply, false);
       compare_digests (fleet, message, now_us);
       break;
     case PEER__MEMBERSHIP__KIND__ACK:
-      take_ack (fleet, message);
+      handle_ack (fleet, message);
       compare_digests (fleet, message, now_us);
       break;
     case PEER__MEMBERSHIP__KIND__PING_REQUEST:
       relay_ping (fleet, message);
       break;
     case PEER__MEMBERSHIP__KIND__JOIN:
-      send_state (fleet, address, message->sequence);
+      send_full_state (fleet, address, message->sequence);
       break;
     case PEER__MEMBERSHIP__KIND__SYNC:
-      take_state (fleet, message);
+      handle_full_state (fleet, message);
       break;
     default:
       break;
     }
-  reply = add_claim_on_sender (fleet, message->sender, reply);
+  reply = add_correction_for_sender (fleet, message->sender, reply);
   if (reply != NULL)
     {
       mem_send (fleet, address, reply);
     }
 }
 
-/* Takes MESSAGE of a peer.  One without a sender's name and address, or by
-   this daemon itself, is dropped.  */
+/* Handles MESSAGE from a peer.  Ignores messages that lack a sender with name
+   and address, and messages from this daemon itself.  */
 void
 mem_receive (struct mem_fleet *fleet, const Peer__Membership *message,
              int64_t now_us)
@@ -267,10 +280,10 @@
       return;
     }
   const bool full_state = message->kind == PEER__MEMBERSHIP__KIND__SYNC;
-  merge_word (fleet, sender, false, now_us);
+  merge_update (fleet, sender, false, now_us);
   for (size_t i = 0; i < message->n_members; i++)
     {
-      merge_word (fleet, message->members[i], full_state, now_us);
+      merge_update (fleet, message->members[i], full_state, now_us);
     }
   merge_marks (fleet, message, now_us);
   if (message->config_version > fleet->self->config_version)
@@ -279,5 +292,5 @@
       action->address = g_strdup (sender->address);
       action->config_version = message->config_version;
     }
-  answer (fleet, message, now_us);
+  reply_to_message (fleet, message, now_us);
 }
