--- a/test/membership_test.c
+++ b/test/membership_test.c
@@ -11,47 +11,48 @@
 #define MS_US INT64_C (1000)
 #define LENGTH(table) (sizeof (table) / sizeof (table)[0])
 
-/* What the machines of one network decided. */
-struct seen
+/* What happened at the machines, that is, daemons, of a simulated network. */
+struct observed
 {
   struct pn_net *net;
-  uint32_t deaths; /* members declared dead, by anyone */
-  uint32_t left;   /* members seen to have left, by anyone */
-  uint32_t marks;  /* machines that learnt a mark */
+  uint32_t deaths; /* declarations of death, by all machines */
+  uint32_t left;   /* members reported as left, by all machines */
+  uint32_t marks;  /* marks received from peers, by all machines */
   uint32_t conflicts;
-  bool installs; /* a newer configuration is put in force when heard of */
+  bool applies_config; /* apply newer configurations when they are reported */
 };
 
 static void
-note (void *user_data, uint32_t machine, int64_t now_us,
-      const struct mem_action *action)
+record_action (void *user_data, uint32_t machine, int64_t now_us,
+               const struct mem_action *action)
 {
-  struct seen *seen = user_data;
+  struct observed *observed = user_data;
   switch (action->kind)
     {
     case MEM_MEMBER_CHANGED:
-      seen->deaths += action->state == MBR_DEAD;
-      seen->left += action->state == MBR_LEFT;
+      observed->deaths += action->state == MBR_DEAD;
+      observed->left += action->state == MBR_LEFT;
       break;
     case MEM_MARK_LEARNT:
-      seen->marks += 1;
+      observed->marks += 1;
       break;
     case MEM_NEWER_CONFIG:
-      if (seen->installs)
+      if (observed->applies_config)
         {
-          mem_set_config_version (pn_fleet (seen->net, machine),
+          mem_set_config_version (pn_fleet (observed->net, machine),
                                   action->config_version, now_us);
         }
       break;
     case MEM_NAME_CONFLICT:
-      seen->conflicts += 1;
+      observed->conflicts += 1;
       break;
     default:
       break;
     }
 }
 
-/* Returns how long until all running machines see ALIVE, BOUND_US at most. */
+/* Runs NET until all running machines count ALIVE active members, at most for
+   BOUND_US.  Returns the simulated time that it took in us.  */
 static int64_t
 wait_for_all (struct pn_net *net, uint32_t alive, int64_t bound_us)
 {
@@ -64,29 +65,29 @@
 }
 
 static struct pn_net *
-create (uint32_t machines, uint32_t seed, struct seen *seen)
+create_net (uint32_t machines, uint32_t seed, struct observed *observed)
 {
   struct pn_net *net = pn_create (machines, seed);
-  *seen = (struct seen){ .net = net };
-  pn_on_action (net, note, seen);
+  *observed = (struct observed){ .net = net };
+  pn_on_action (net, record_action, observed);
   return net;
 }
 
-/* Starts all machines and waits until they know one another. */
+/* Returns a network whose machines all know one another.  */
 static struct pn_net *
-create_joined (uint32_t machines, uint32_t seed, struct seen *seen)
+create_joined_net (uint32_t machines, uint32_t seed, struct observed *observed)
 {
-  struct pn_net *net = create (machines, seed, seen);
+  struct pn_net *net = create_net (machines, seed, observed);
   pn_start_all (net);
   wait_for_all (net, machines, 60 * S_US);
   assert_true (pn_all_see (net, machines));
   pn_run (net, 20 * S_US);
-  seen->deaths = 0;
+  observed->deaths = 0;
   return net;
 }
 
 static void
-all_restarted_at_once_find_each_other (void **state)
+simultaneous_restart_converges (void **state)
 {
   (void)state;
   static const struct
@@ -101,20 +102,20 @@
   };
   for (size_t i = 0; i < LENGTH (cases); i++)
     {
-      struct seen seen;
-      struct pn_net *net = create (cases[i].machines, 7, &seen);
+      struct observed observed;
+      struct pn_net *net = create_net (cases[i].machines, 7, &observed);
       pn_set_candidates (net, cases[i].candidates);
       pn_set_loss (net, cases[i].loss_per_mille);
       pn_start_all (net);
       wait_for_all (net, cases[i].machines, cases[i].bound_us);
       assert_true (pn_all_see (net, cases[i].machines));
-      assert_int_equal (seen.deaths, 0);
+      assert_int_equal (observed.deaths, 0);
       pn_destroy (net);
     }
 }
 
 static void
-a_dead_member_is_found_by_all (void **state)
+dead_member_is_detected_by_all (void **state)
 {
   (void)state;
   static const struct
@@ -129,18 +130,18 @@
   for (size_t i = 0; i < LENGTH (cases); i++)
     {
       const uint32_t machines = cases[i].machines;
-      struct seen seen;
-      struct pn_net *net = create_joined (machines, 3, &seen);
+      struct observed observed;
+      struct pn_net *net = create_joined_net (machines, 3, &observed);
       pn_set_loss (net, cases[i].loss_per_mille);
       pn_kill (net, machines - 1);
       wait_for_all (net, machines - 1, cases[i].bound_us);
       assert_true (pn_all_see (net, machines - 1));
-      assert_int_equal (seen.deaths, machines - 1);
+      assert_int_equal (observed.deaths, machines - 1);
       pn_destroy (net);
     }
 }
 
-/* One fault that members live through. */
+/* A fault that must not lead to a declaration of death. */
 struct fault
 {
   uint32_t machines;
@@ -152,7 +153,7 @@
 };
 
 static void
-a_member_that_answers_is_not_declared_dead (void **state)
+responsive_member_is_not_declared_dead (void **state)
 {
   (void)state;
   static const struct fault cases[] = {
@@ -170,8 +171,9 @@
       const struct fault *fault = &cases[i];
       for (uint32_t seed = 1; seed <= 3; seed++)
         {
-          struct seen seen;
-          struct pn_net *net = create_joined (fault->machines, seed, &seen);
+          struct observed observed;
+          struct pn_net *net
+              = create_joined_net (fault->machines, seed, &observed);
           pn_set_loss (net, fault->loss_per_mille);
           pn_set_latency (net, MAX (fault->latency_us, PN_STEP_US));
           pn_cut (net, 0, 1, fault->cut_one_way || fault->cut_both_ways);
@@ -180,7 +182,7 @@
           pn_run (net, fault->pause_us);
           pn_pause (net, 0, false);
           pn_run (net, 120 * S_US);
-          assert_int_equal (seen.deaths, 0);
+          assert_int_equal (observed.deaths, 0);
           assert_true (pn_all_see (net, fault->machines));
           pn_destroy (net);
         }
@@ -188,27 +190,27 @@
 }
 
 static void
-a_long_pause_is_death_and_return (void **state)
+long_pause_causes_death_and_return (void **state)
 {
   (void)state;
   static const uint32_t sizes[] = { 2, 9, 40 };
   for (size_t i = 0; i < LENGTH (sizes); i++)
     {
-      struct seen seen;
-      struct pn_net *net = create_joined (sizes[i], 5, &seen);
+      struct observed observed;
+      struct pn_net *net = create_joined_net (sizes[i], 5, &observed);
       pn_pause (net, 0, true);
       pn_run (net, 60 * S_US);
-      assert_int_equal (seen.deaths, sizes[i] - 1);
+      assert_int_equal (observed.deaths, sizes[i] - 1);
       pn_pause (net, 0, false);
       pn_run (net, 15 * S_US);
-      assert_int_equal (seen.deaths, sizes[i] - 1);
+      assert_int_equal (observed.deaths, sizes[i] - 1);
       assert_true (pn_all_see (net, sizes[i]));
       pn_destroy (net);
     }
 }
 
 static void
-sides_of_a_healed_partition_merge (void **state)
+healed_partition_merges (void **state)
 {
   (void)state;
   static const struct
@@ -226,33 +228,34 @@
     {
       const uint32_t machines = cases[i].machines;
       const uint32_t first = cases[i].first_side;
-      struct seen seen;
-      struct pn_net *net = create_joined (machines, 11, &seen);
+      struct observed observed;
+      struct pn_net *net = create_joined_net (machines, 11, &observed);
       pn_cut_groups (net, first, true);
       pn_run (net, cases[i].duration_us);
       assert_int_equal (mem_alive_count (pn_fleet (net, 0)), first);
       assert_int_equal (mem_alive_count (pn_fleet (net, machines - 1)),
                         machines - first);
-      const uint32_t deaths = seen.deaths;
+      const uint32_t deaths = observed.deaths;
       pn_cut_groups (net, first, false);
       wait_for_all (net, machines, cases[i].bound_us);
       assert_true (pn_all_see (net, machines));
       pn_run (net, 60 * S_US);
       assert_true (pn_all_see (net, machines));
-      assert_int_equal (seen.deaths, deaths);
+      assert_int_equal (observed.deaths, deaths);
       pn_destroy (net);
     }
 }
 
-/* A day's 110 replacements within an hour: each one is a kill and a start of
-   the same name, 20 seconds apart.  */
+/* Guards against replacements that leave daemons with different views: 110
+   replacements, as many as in a day, within an hour.  Each is a kill and a
+   start under the same name 20 s later.  */
 static void
-replacements_leave_one_view (void **state)
+replacements_converge (void **state)
 {
   (void)state;
   const uint32_t machines = 40;
-  struct seen seen;
-  struct pn_net *net = create_joined (machines, 13, &seen);
+  struct observed observed;
+  struct pn_net *net = create_joined_net (machines, 13, &observed);
   for (uint32_t i = 0; i < 110; i++)
     {
       const uint32_t machine = i * 7 % machines;
@@ -266,47 +269,49 @@
   pn_destroy (net);
 }
 
-/* Replaced before anyone noticed: the new process is taken in as such. */
+/* Guards against a replacement that is missed or reported as a death when the
+   process restarts before any probe fails: the higher incarnation replaces the
+   old one.  */
 static void
-a_quick_replacement_is_one_member (void **state)
+quick_replacement_stays_one_member (void **state)
 {
   (void)state;
-  struct seen seen;
-  struct pn_net *net = create_joined (9, 17, &seen);
+  struct observed observed;
+  struct pn_net *net = create_joined_net (9, 17, &observed);
   const uint64_t before
       = mem_find (pn_fleet (net, 0), pn_name (net, 4))->incarnation;
   pn_kill (net, 4);
   pn_start (net, 4);
   pn_run (net, 20 * S_US);
   assert_true (pn_all_see (net, 9));
-  assert_int_equal (seen.deaths, 0);
+  assert_int_equal (observed.deaths, 0);
   assert_true (mem_find (pn_fleet (net, 0), pn_name (net, 4))->incarnation
                > before);
   pn_destroy (net);
 }
 
 static void
-a_planned_stop_is_told (void **state)
+planned_stop_is_announced (void **state)
 {
   (void)state;
   static const uint32_t sizes[] = { 2, 9, 85 };
   for (size_t i = 0; i < LENGTH (sizes); i++)
     {
-      struct seen seen;
-      struct pn_net *net = create_joined (sizes[i], 19, &seen);
+      struct observed observed;
+      struct pn_net *net = create_joined_net (sizes[i], 19, &observed);
       mem_leave (pn_fleet (net, 0), pn_now_us (net));
       pn_run (net, 3 * S_US);
-      assert_int_equal (seen.left, sizes[i] - 1);
+      assert_int_equal (observed.left, sizes[i] - 1);
       pn_kill (net, 0);
       pn_run (net, 60 * S_US);
-      assert_int_equal (seen.deaths, 0);
+      assert_int_equal (observed.deaths, 0);
       assert_true (pn_all_see (net, sizes[i] - 1));
       pn_destroy (net);
     }
 }
 
 static void
-a_mark_reaches_all_in_three_seconds (void **state)
+mark_reaches_all_within_3_s (void **state)
 {
   (void)state;
   static const struct
@@ -320,8 +325,9 @@
   };
   for (size_t i = 0; i < LENGTH (cases); i++)
     {
-      struct seen seen;
-      struct pn_net *net = create_joined (cases[i].machines, 23, &seen);
+      struct observed observed;
+      struct pn_net *net
+          = create_joined_net (cases[i].machines, 23, &observed);
       pn_set_loss (net, cases[i].loss_per_mille);
       pn_set_latency (net, MAX (cases[i].latency_us, PN_STEP_US));
       const struct lv_mark mark = {
@@ -329,39 +335,39 @@
       };
       mem_tell_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
       pn_run (net, 3 * S_US);
-      assert_int_equal (seen.marks, cases[i].machines - 1);
+      assert_int_equal (observed.marks, cases[i].machines - 1);
       pn_destroy (net);
     }
 }
 
 static void
-a_late_starter_learns_marks_and_versions (void **state)
+late_starter_receives_marks (void **state)
 {
   (void)state;
-  struct seen seen;
-  struct pn_net *net = create_joined (9, 29, &seen);
+  struct observed observed;
+  struct pn_net *net = create_joined_net (9, 29, &observed);
   const struct lv_mark mark = {
     .host = "runner-17", .cause = LV_LIST, .order = 40, .leaving = true
   };
   mem_tell_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
   pn_run (net, 300 * S_US);
-  seen.marks = 0;
+  observed.marks = 0;
   pn_kill (net, 8);
   pn_start (net, 8);
   pn_run (net, 3 * S_US);
-  assert_int_equal (seen.marks, 1);
+  assert_int_equal (observed.marks, 1);
   pn_destroy (net);
 }
 
 static void
-a_new_configuration_is_heard_of (void **state)
+new_config_version_reaches_all (void **state)
 {
   (void)state;
   static const struct
   {
     uint32_t machines;
     int64_t bound_us;
-    int64_t shown_us; /* until everyone knows that all have it */
+    int64_t reported_us; /* until a daemon knows that all have it */
   } cases[] = {
     { 3, 3 * S_US, 6 * S_US },
     { 9, 3 * S_US, 15 * S_US },
@@ -370,9 +376,9 @@
   for (size_t i = 0; i < LENGTH (cases); i++)
     {
       const uint32_t machines = cases[i].machines;
-      struct seen seen;
-      struct pn_net *net = create_joined (machines, 31, &seen);
-      seen.installs = true;
+      struct observed observed;
+      struct pn_net *net = create_joined_net (machines, 31, &observed);
+      observed.applies_config = true;
       mem_set_config_version (pn_fleet (net, 0), 7, pn_now_us (net));
       pn_run (net, cases[i].bound_us);
       for (uint32_t j = 0; j < machines; j++)
@@ -381,7 +387,7 @@
           assert_int_equal (mem_find (fleet, pn_name (net, j))->config_version,
                             7);
         }
-      pn_run (net, cases[i].shown_us);
+      pn_run (net, cases[i].reported_us);
       assert_int_equal (mem_in_force_count (pn_fleet (net, machines / 2), 7),
                         machines);
       pn_destroy (net);
@@ -392,8 +398,8 @@
 ready_daemons_are_counted (void **state)
 {
   (void)state;
-  struct seen seen;
-  struct pn_net *net = create_joined (9, 37, &seen);
+  struct observed observed;
+  struct pn_net *net = create_joined_net (9, 37, &observed);
   assert_int_equal (mem_ready_count (pn_fleet (net, 8)), 0);
   for (uint32_t i = 0; i < 5; i++)
     {
@@ -410,7 +416,8 @@
   pn_destroy (net);
 }
 
-/* Bytes that one machine sends and receives a second, the mean. */
+/* Returns the mean number of bytes that one machine sends and receives per
+   second.  */
 static double
 bytes_per_s (struct pn_net *net, uint32_t machines, int64_t duration_us)
 {
@@ -426,30 +433,31 @@
 }
 
 static void
-cost_does_not_grow_with_the_fleet (void **state)
+traffic_is_independent_of_fleet_size (void **state)
 {
   (void)state;
   static const uint32_t sizes[] = { 3, 20, 85 };
   for (size_t i = 0; i < LENGTH (sizes); i++)
     {
-      struct seen seen;
-      struct pn_net *net = create_joined (sizes[i], 41, &seen);
+      struct observed observed;
+      struct pn_net *net = create_joined_net (sizes[i], 41, &observed);
       pn_run (net, 60 * S_US);
       assert_true (bytes_per_s (net, sizes[i], 30 * S_US) < 300);
       pn_destroy (net);
     }
 }
 
-/* One network of 340 daemons through restart, marks, a configuration, a death
-   and an hour's partition cut short.  Bytes are those sent and received by a
-   daemon, the mean over the interval.  */
+/* Runs 340 daemons through a simultaneous start, a mark, a new configuration,
+   a death and a partition of three minutes, which stands for one of an hour.
+   The traffic is what a daemon sends and receives, averaged over all daemons
+   and the interval.  */
 static void
-a_fleet_of_340 (void **state)
+fleet_of_340_daemons (void **state)
 {
   (void)state;
   const uint32_t machines = 340;
-  struct seen seen;
-  struct pn_net *net = create (machines, 43, &seen);
+  struct observed observed;
+  struct pn_net *net = create_net (machines, 43, &observed);
   pn_start_all (net);
   assert_true (bytes_per_s (net, machines, 40 * S_US) < 12000);
   assert_true (pn_all_see (net, machines));
@@ -458,9 +466,9 @@
   };
   mem_tell_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
   pn_run (net, 3 * S_US);
-  assert_int_equal (seen.marks, machines - 1);
+  assert_int_equal (observed.marks, machines - 1);
 
-  seen.installs = true;
+  observed.applies_config = true;
   mem_set_config_version (pn_fleet (net, 0), 7, pn_now_us (net));
   pn_run (net, 12 * S_US);
   for (uint32_t j = 0; j < machines; j++)
@@ -468,30 +476,30 @@
       const struct mem_fleet *fleet = pn_fleet (net, j);
       assert_int_equal (mem_find (fleet, pn_name (net, j))->config_version, 7);
     }
-  assert_int_equal (seen.deaths, 0);
+  assert_int_equal (observed.deaths, 0);
 
   pn_run (net, 180 * S_US);
   pn_kill (net, machines - 1);
   wait_for_all (net, machines - 1, 25 * S_US);
   assert_true (pn_all_see (net, machines - 1));
   assert_true (bytes_per_s (net, machines, 20 * S_US) < 300);
-  assert_int_equal (seen.deaths, machines - 1);
+  assert_int_equal (observed.deaths, machines - 1);
 
   pn_cut_groups (net, 113, true);
   pn_run (net, 180 * S_US);
   assert_int_equal (mem_alive_count (pn_fleet (net, 0)), 113);
   assert_int_equal (mem_alive_count (pn_fleet (net, 113)), 226);
-  const uint32_t deaths = seen.deaths;
+  const uint32_t deaths = observed.deaths;
   pn_cut_groups (net, 113, false);
   assert_true (bytes_per_s (net, machines, 30 * S_US) < 12000);
   wait_for_all (net, machines - 1, 30 * S_US);
   assert_true (pn_all_see (net, machines - 1));
-  assert_int_equal (seen.deaths, deaths);
+  assert_int_equal (observed.deaths, deaths);
   pn_destroy (net);
 }
 
 static struct mem_fleet *
-create_alone (void)
+create_single_daemon (void)
 {
   const struct mem_settings settings = { .name = "entry-a",
                                          .address = "10.0.0.1:7000",
@@ -501,7 +509,7 @@
   return mem_create (&settings, 0);
 }
 
-/* Counts, and clears, the queued actions of KIND. */
+/* Removes all queued actions.  Returns how many of them were of KIND.  */
 static uint32_t
 drain_actions (struct mem_fleet *fleet, enum mem_action_kind kind)
 {
@@ -515,24 +523,24 @@
   return count;
 }
 
-/* One word in a message of entry-b, and what becomes of it. */
-struct word
+/* An update in a message from entry-b to entry-a, and the expected result. */
+struct update
 {
   const char *name;
   const char *address;
   uint64_t incarnation;
   int state;
-  bool taken;               /* is known afterwards */
+  bool known;               /* whether NAME is known afterwards */
   uint64_t own_incarnation; /* of entry-a afterwards */
   uint32_t conflicts;
 };
 
 static void
-words_on_members (void **state)
+updates_on_members (void **state)
 {
   (void)state;
   char *const long_name = g_strnfill (CFG_NAME_BYTES, 'x');
-  const struct word cases[] = {
+  const struct update cases[] = {
     { "entry-c", "10.0.0.3:7000", 5, MBR_ALIVE, true, 100, 0 },
     { "entry-c", "10.0.0.3:7000", 5, MBR_SUSPECT, true, 100, 0 },
     { "entry-c", "10.0.0.3:7000", 5, MBR_DEAD, false, 100, 0 },
@@ -551,25 +559,25 @@
   };
   for (size_t i = 0; i < LENGTH (cases); i++)
     {
-      struct mem_fleet *fleet = create_alone ();
+      struct mem_fleet *fleet = create_single_daemon ();
       Peer__Member sender = PEER__MEMBER__INIT;
       sender.name = (char *)"entry-b";
       sender.address = (char *)"10.0.0.2:7000";
-      Peer__Member word = PEER__MEMBER__INIT;
-      word.name = (char *)cases[i].name;
-      word.address = (char *)cases[i].address;
-      word.incarnation = cases[i].incarnation;
-      word.state = (Peer__MemberState)cases[i].state;
-      Peer__Member *words[] = { &word };
+      Peer__Member update = PEER__MEMBER__INIT;
+      update.name = (char *)cases[i].name;
+      update.address = (char *)cases[i].address;
+      update.incarnation = cases[i].incarnation;
+      update.state = (Peer__MemberState)cases[i].state;
+      Peer__Member *updates[] = { &update };
       Peer__Membership message = PEER__MEMBERSHIP__INIT;
       message.sender = &sender;
-      message.members = words;
+      message.members = updates;
       message.n_members = 1;
       mem_receive (fleet, &message, 1);
       assert_int_equal (drain_actions (fleet, MEM_NAME_CONFLICT),
                         cases[i].conflicts);
       assert_int_equal (mem_find (fleet, cases[i].name) != NULL,
-                        cases[i].taken);
+                        cases[i].known);
       assert_int_equal (mem_find (fleet, "entry-a")->incarnation,
                         cases[i].own_incarnation);
       mem_destroy (fleet);
@@ -578,7 +586,7 @@
 }
 
 static Peer__Membership
-message_of (Peer__Member *sender, uint64_t incarnation)
+ping_from_peer (Peer__Member *sender, uint64_t incarnation)
 {
   Peer__Membership message = PEER__MEMBERSHIP__INIT;
   peer__member__init (sender);
@@ -590,42 +598,44 @@
   return message;
 }
 
-/* A replacement whose clock is behind starts with a lower incarnation than the
-   process before it; it is told of that one in every answer.  */
+/* Guards against a replacement that is ignored for ever because its clock is
+   behind, so that its incarnation is lower than that of the process before it.
+   Every reply tells it the higher incarnation.  */
 static void
-a_replacement_with_a_lower_incarnation_is_told (void **state)
+replacement_with_lower_incarnation_is_corrected (void **state)
 {
   (void)state;
-  struct mem_fleet *fleet = create_alone ();
+  struct mem_fleet *fleet = create_single_daemon ();
   Peer__Member sender;
-  Peer__Membership message = message_of (&sender, 500);
-  for (int i = 0; i < 40; i++) /* until gossip on it has come to rest */
+  Peer__Membership message = ping_from_peer (&sender, 500);
+  for (int i = 0; i < 40; i++) /* until the gossip on entry-b is used up */
     {
       mem_receive (fleet, &message, 1);
     }
   drain_actions (fleet, MEM_SEND);
-  message = message_of (&sender, 5);
+  message = ping_from_peer (&sender, 5);
   mem_receive (fleet, &message, 2);
   struct mem_action action = { 0 };
-  bool told = false;
+  bool corrected = false;
   while (mem_next_action (fleet, &action))
     {
       for (size_t i = 0;
            action.kind == MEM_SEND && i < action.message->n_members; i++)
         {
-          const Peer__Member *word = action.message->members[i];
-          told |= strcmp (word->name, "entry-b") == 0
-                  && word->incarnation == 500;
+          const Peer__Member *update = action.message->members[i];
+          corrected |= strcmp (update->name, "entry-b") == 0
+                       && update->incarnation == 500;
         }
       mem_action_clear (&action);
     }
-  assert_true (told);
+  assert_true (corrected);
   mem_destroy (fleet);
 }
 
-/* Messages without a sender, or from the daemon itself, do nothing. */
+/* Messages without a complete sender, or from the daemon itself, are ignored.
+ */
 static void
-messages_without_a_sender_are_dropped (void **state)
+messages_without_valid_sender_are_dropped (void **state)
 {
   (void)state;
   static const struct
@@ -641,7 +651,7 @@
   };
   for (size_t i = 0; i < LENGTH (cases); i++)
     {
-      struct mem_fleet *fleet = create_alone ();
+      struct mem_fleet *fleet = create_single_daemon ();
       Peer__Member sender = PEER__MEMBER__INIT;
       sender.name = (char *)cases[i].name;
       sender.address = (char *)cases[i].address;
@@ -659,23 +669,23 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (all_restarted_at_once_find_each_other),
-    cmocka_unit_test (a_dead_member_is_found_by_all),
-    cmocka_unit_test (a_member_that_answers_is_not_declared_dead),
-    cmocka_unit_test (a_long_pause_is_death_and_return),
-    cmocka_unit_test (sides_of_a_healed_partition_merge),
-    cmocka_unit_test (replacements_leave_one_view),
-    cmocka_unit_test (a_quick_replacement_is_one_member),
-    cmocka_unit_test (a_planned_stop_is_told),
-    cmocka_unit_test (a_mark_reaches_all_in_three_seconds),
-    cmocka_unit_test (a_late_starter_learns_marks_and_versions),
-    cmocka_unit_test (a_new_configuration_is_heard_of),
+    cmocka_unit_test (simultaneous_restart_converges),
+    cmocka_unit_test (dead_member_is_detected_by_all),
+    cmocka_unit_test (responsive_member_is_not_declared_dead),
+    cmocka_unit_test (long_pause_causes_death_and_return),
+    cmocka_unit_test (healed_partition_merges),
+    cmocka_unit_test (replacements_converge),
+    cmocka_unit_test (quick_replacement_stays_one_member),
+    cmocka_unit_test (planned_stop_is_announced),
+    cmocka_unit_test (mark_reaches_all_within_3_s),
+    cmocka_unit_test (late_starter_receives_marks),
+    cmocka_unit_test (new_config_version_reaches_all),
     cmocka_unit_test (ready_daemons_are_counted),
-    cmocka_unit_test (cost_does_not_grow_with_the_fleet),
-    cmocka_unit_test (a_fleet_of_340),
-    cmocka_unit_test (words_on_members),
-    cmocka_unit_test (a_replacement_with_a_lower_incarnation_is_told),
-    cmocka_unit_test (messages_without_a_sender_are_dropped),
+    cmocka_unit_test (traffic_is_independent_of_fleet_size),
+    cmocka_unit_test (fleet_of_340_daemons),
+    cmocka_unit_test (updates_on_members),
+    cmocka_unit_test (replacement_with_lower_incarnation_is_corrected),
+    cmocka_unit_test (messages_without_valid_sender_are_dropped),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
