--- a/src/core/config.h
+++ b/src/core/config.h
@@ -1,7 +1,7 @@
 /* The fleet's configuration, as stored in the platform's log: accounts,
-   models, data centres and links, hosts, services and rules.  It is
-   reference-counted and immutable once built; src/config parses it from YAML.
- */
+   models, data centres and links, hosts, services and rules.  Configurations
+   are reference-counted and immutable once built; src/config parses them from
+   YAML. */
 #ifndef CORE_CONFIG_H
 #define CORE_CONFIG_H
 
--- a/src/core/confstate.c
+++ b/src/core/confstate.c
@@ -269,8 +269,8 @@
 }
 
 /* Appends a checkpoint: a copy of the current version that outlives the
-   retention of the original record.  It counts only at the offset NEXT_OFFSET.
- */
+   retention of the original record.  Readers accept it only at the offset
+   NEXT_OFFSET.  */
 static void
 append_checkpoint (struct cst *cst, int64_t now_us, struct act_list *actions)
 {
--- a/src/core/confstate_log.c
+++ b/src/core/confstate_log.c
@@ -61,7 +61,7 @@
 
 /* Applies a publication read from the log.  Of several publications based on
    the current version, only the first valid one in the log is accepted.
-   Returns ERR_NONE or why it is rejected.  */
+   Returns ERR_NONE or the reason for rejecting it.  */
 static enum err_kind
 apply_publication (struct cst *cst, const struct rec_configuration *record,
                    int64_t time_us, struct act_list *actions)
@@ -91,8 +91,9 @@
 }
 
 /* Applies a checkpoint or a restored configuration read from the log.  It
-   counts only at the offset that its writer expected: then no record precedes
-   it that its writer had not read.  Returns ERR_NONE or why it is rejected. */
+   counts only at the offset that its writer expected, so that no record
+   precedes it that its writer had not read.  Returns ERR_NONE or the reason
+   for rejecting it.  */
 static enum err_kind
 apply_checkpoint (struct cst *cst, const struct rec_configuration *record,
                   uint64_t offset, int64_t time_us, struct act_list *actions)
--- a/src/core/members.c
+++ b/src/core/members.c
@@ -50,8 +50,8 @@
   return g_hash_table_lookup (table->by_name, name);
 }
 
-/* Returns whether MEMBER counts as part of the fleet: it is alive or suspect.
- */
+/* Returns whether MEMBER is alive or suspect and thus counts as part of the
+   fleet.  */
 bool
 mbr_is_active (const struct mbr_member *member)
 {
@@ -87,7 +87,7 @@
   return XXH3_64bits_withSeed (words, sizeof words, seed);
 }
 
-/* Takes MEMBER out of the table's digest and counts, before MEMBER changes. */
+/* Removes MEMBER from TABLE's digest and counts, before MEMBER changes.  */
 static void
 remove_from_totals (struct mbr_table *table, const struct mbr_member *member)
 {
@@ -96,7 +96,7 @@
   table->suspects -= member->state == MBR_SUSPECT;
 }
 
-/* Adds MEMBER to the table's digest and counts, after MEMBER has changed.  */
+/* Adds MEMBER to TABLE's digest and counts, after MEMBER has changed.  */
 static void
 add_to_totals (struct mbr_table *table, const struct mbr_member *member)
 {
@@ -353,9 +353,9 @@
   return known;
 }
 
-/* Returns MEMBER as a message, to be freed with the message that contains it.
-   WITH_ADDRESS includes the address and data centre, which only receivers that
-   do not know the member need.  */
+/* Returns MEMBER as a message, to be freed together with the message that
+   contains it.  WITH_ADDRESS includes the address and data centre, which only
+   receivers that do not know the member need.  */
 Peer__Member *
 mbr_member_to_message (const struct mbr_member *member, bool with_address)
 {
@@ -376,7 +376,8 @@
   return message;
 }
 
-/* Returns MARK as a message, to be freed with the message that contains it. */
+/* Returns MARK as a message, to be freed together with the message that
+   contains it.  */
 Peer__Mark *
 mbr_mark_to_message (const struct lv_mark *mark)
 {
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -470,8 +470,8 @@
   return count;
 }
 
-/* Returns the number of other alive members that can reach the platform's log.
- */
+/* Returns the number of alive members other than this daemon that can reach
+   the platform's log.  */
 uint32_t
 mem_reaching_log_count (const struct mem_fleet *fleet)
 {
--- a/src/core/membership_receive.c
+++ b/src/core/membership_receive.c
@@ -47,8 +47,8 @@
 
 /* Merges UPDATE.  FULL_STATE is set for updates from a full state; those of
    the first full state are not gossiped further, except on suspects.  Each
-   daemon itself waits for a suspected member to refute and declares it dead.
- */
+   daemon itself waits for a suspected member to refute, and declares it dead
+   otherwise.  */
 static void
 merge_update (struct mem_fleet *fleet, const Peer__Member *update,
               bool full_state, int64_t now_us)
--- a/test/membership_test.c
+++ b/test/membership_test.c
@@ -632,8 +632,8 @@
   mem_destroy (fleet);
 }
 
-/* Messages without a complete sender, or from the daemon itself, are ignored.
- */
+/* Messages that lack a complete sender, or come from the daemon itself, are
+   ignored.  */
 static void
 messages_without_valid_sender_are_dropped (void **state)
 {
