--- a/src/core/burn.c
+++ b/src/core/burn.c
@@ -2,29 +2,28 @@
 
 #include <string.h>
 
-#define DEFAULT_SERIES_MAX 8192
-#define DEFAULT_CAUSES_MAX 16384
+#define SERIES_MAX_DEFAULT 8192
+#define CAUSES_MAX_DEFAULT 16384
 
-/* Two hours of buckets for which repeats of a record are known. */
-#define SOURCE_BUCKETS 24
+/* Duplicates are recognised for this many buckets of a daemon: two hours. */
+#define DUPLICATE_WINDOW_BUCKETS 24
 
-/* Sequences of one bucket that were merged from one daemon. */
-struct seen_bucket
+/* Records of one bucket that were merged from one daemon. */
+struct merged_bucket
 {
   uint32_t bucket;
-  uint64_t sequences;
+  uint64_t sequences; /* bit N: the record with sequence N */
 };
 
-/* One incarnation of a daemon. */
+/* The merged records of one incarnation of a daemon. */
 struct brn_source
 {
-  uint64_t incarnation; /* first: looked up by it */
+  uint64_t incarnation; /* first, as the hash table uses it as the key */
   uint32_t newest_bucket;
-  struct seen_bucket seen[SOURCE_BUCKETS];
+  struct merged_bucket merged[DUPLICATE_WINDOW_BUCKETS];
 };
 
-/* Whether an objective applies to a kind of work. */
-static const bool applies[BRN_WORK_COUNT][BRN_OBJECTIVE_COUNT] = {
+static const bool objective_applies[BRN_WORK_COUNT][BRN_OBJECTIVE_COUNT] = {
   [BRN_DRAFT] = { [BRN_AVAILABILITY] = true,
                   [BRN_FIRST_TOKEN] = true,
                   [BRN_BETWEEN_TOKENS] = true },
@@ -32,15 +31,16 @@
   [BRN_LOOKUP] = { [BRN_AVAILABILITY] = true },
 };
 
+/* Returns true when OBJECTIVE is counted for WORK.  */
 bool
-brn_applies (enum brn_work work, enum brn_objective objective)
+brn_objective_applies (enum brn_work work, enum brn_objective objective)
 {
-  return applies[work][objective];
+  return objective_applies[work][objective];
 }
 
-/* Returns the place of OBJECTIVE in a cell.  */
+/* Returns the index of OBJECTIVE in the counts of a period.  */
 uint32_t
-brn_place (enum brn_objective objective)
+brn_count_slot (enum brn_objective objective)
 {
   return objective == BRN_SETTLED ? BRN_FIRST_TOKEN : objective;
 }
@@ -62,14 +62,14 @@
 }
 
 static guint
-hash_cause (gconstpointer data)
+hash_day_cause (gconstpointer data)
 {
   const struct brn_day_cause *cause = data;
   return g_str_hash (cause->cause.endpoint) ^ (cause->day << 16)
          ^ (cause->cause.objective << 8) ^ cause->cause.error;
 }
 
-/* Returns true when both causes are alike but for their counts.  */
+/* Returns true when LEFT and RIGHT differ in nothing but their counts.  */
 bool
 brn_same_cause (const struct brn_cause *left, const struct brn_cause *right)
 {
@@ -79,7 +79,7 @@
 }
 
 static gboolean
-equal_causes (gconstpointer a, gconstpointer b)
+equal_day_causes (gconstpointer a, gconstpointer b)
 {
   const struct brn_day_cause *left = a;
   const struct brn_day_cause *right = b;
@@ -95,7 +95,7 @@
   g_free (series);
 }
 
-/* Creates an empty state.  */
+/* Returns an empty state.  The caller frees it with brn_destroy.  */
 struct brn_state *
 brn_create (const struct brn_params *params)
 {
@@ -103,11 +103,11 @@
   state->params = *params;
   if (state->params.series_max == 0)
     {
-      state->params.series_max = DEFAULT_SERIES_MAX;
+      state->params.series_max = SERIES_MAX_DEFAULT;
     }
   if (state->params.causes_max == 0)
     {
-      state->params.causes_max = DEFAULT_CAUSES_MAX;
+      state->params.causes_max = CAUSES_MAX_DEFAULT;
     }
   state->series
       = g_hash_table_new_full (hash_key, equal_keys, NULL, destroy_series);
@@ -134,46 +134,51 @@
   g_free (state);
 }
 
-/* Forgets causes and series of days that no report reaches.  */
+/* Returns true for a cause that is older than the budget window; it is then
+   removed from the set, so its state's count of causes is decremented.  */
 static gboolean
-is_old_cause (gpointer key, gpointer value, gpointer data)
+is_expired_cause (gpointer key, gpointer value, gpointer data)
 {
   (void)value;
   const struct brn_day_cause *cause = key;
   struct brn_state *state = data;
-  bool old = cause->day + BRN_BUDGET_DAYS < state->newest_day;
-  state->cause_count -= old;
-  return old;
+  bool expired = cause->day + BRN_BUDGET_WINDOW_DAYS < state->newest_day;
+  state->cause_count -= expired;
+  return expired;
 }
 
+/* Removes the expired causes of a series.  Returns true when the whole series
+   is older than every window.  */
 static gboolean
-is_old_series (gpointer key, gpointer value, gpointer data)
+is_expired_series (gpointer key, gpointer value, gpointer data)
 {
   (void)value;
   const struct brn_series *series = key;
   struct brn_state *state = data;
-  g_hash_table_foreach_remove (series->causes, is_old_cause, state);
+  g_hash_table_foreach_remove (series->causes, is_expired_cause, state);
   uint32_t newest = 0;
-  for (int i = 0; i < BRN_DAY_CELLS; i++)
+  for (int i = 0; i < BRN_DAY_RING_LENGTH; i++)
     {
       newest = MAX (newest, series->days[i].period);
     }
-  return newest + BRN_DAY_CELLS < state->newest_day;
+  return newest + BRN_DAY_RING_LENGTH < state->newest_day;
 }
 
+/* Returns true when no record of a source can be in any window any more.  */
 static gboolean
-is_old_source (gpointer key, gpointer value, gpointer data)
+is_expired_source (gpointer key, gpointer value, gpointer data)
 {
   (void)value;
   const struct brn_source *source = key;
   const struct brn_state *state = data;
   uint32_t day = source->newest_bucket / (BRN_DAY_S / BRN_BUCKET_S);
-  return day + BRN_DAY_CELLS < state->newest_day;
+  return day + BRN_DAY_RING_LENGTH < state->newest_day;
 }
 
-/* Moves on to the day of BUCKET when it is a later one.  */
+/* Advances STATE to the day of BUCKET when that is a later one, and evicts
+   what is then too old for every report.  */
 void
-brn_advance (struct brn_state *state, uint32_t bucket)
+brn_advance_day (struct brn_state *state, uint32_t bucket)
 {
   uint32_t day = bucket / (BRN_DAY_S / BRN_BUCKET_S);
   if (day <= state->newest_day)
@@ -181,12 +186,12 @@
       return;
     }
   state->newest_day = day;
-  g_hash_table_foreach_remove (state->series, is_old_series, state);
-  g_hash_table_foreach_remove (state->sources, is_old_source, state);
+  g_hash_table_foreach_remove (state->series, is_expired_series, state);
+  g_hash_table_foreach_remove (state->sources, is_expired_source, state);
 }
 
-/* Returns the series of KEY, created at need, or NULL when there are too
-   many.  */
+/* Returns the series of KEY, which is created if it is missing.  Returns NULL
+   when there are too many series already.  */
 static struct brn_series *
 get_series (struct brn_state *state, const struct brn_key *key)
 {
@@ -203,32 +208,32 @@
   series = g_new0 (struct brn_series, 1);
   series->key = *key;
   series->causes
-      = g_hash_table_new_full (hash_cause, equal_causes, g_free, NULL);
+      = g_hash_table_new_full (hash_day_cause, equal_day_causes, g_free, NULL);
   g_hash_table_add (state->series, series);
   return series;
 }
 
-/* Adds COUNTS to the cell of PERIOD in a ring of LENGTH cells, unless the ring
-   has gone beyond it.  */
+/* Adds COUNTS to PERIOD in a ring buffer of LENGTH periods, unless a later
+   period has taken its element.  */
 static void
-add_to_ring (struct brn_cell *ring, uint32_t length, uint32_t period,
+add_to_ring (struct brn_period_counts *ring, uint32_t length, uint32_t period,
              enum brn_work work, const struct brn_count *counts)
 {
-  struct brn_cell *cell = &ring[period % length];
-  if (cell->period > period)
+  struct brn_period_counts *element = &ring[period % length];
+  if (element->period > period)
     {
       return;
     }
-  if (cell->period < period)
+  if (element->period < period)
     {
-      *cell = (struct brn_cell){ .period = period };
+      *element = (struct brn_period_counts){ .period = period };
     }
   for (int i = 0; i < BRN_OBJECTIVE_COUNT; i++)
     {
-      if (brn_applies (work, (enum brn_objective)i))
+      if (brn_objective_applies (work, (enum brn_objective)i))
         {
           struct brn_count *count
-              = &cell->counts[brn_place ((enum brn_objective)i)];
+              = &element->counts[brn_count_slot ((enum brn_objective)i)];
           count->total += counts[i].total;
           count->bad += counts[i].bad;
           count->log_sum += counts[i].log_sum;
@@ -236,20 +241,22 @@
     }
 }
 
+/* Adds CAUSE, of DAY, to SERIES, unless no report includes that day any more.
+   A new cause is dropped and counted when there are too many already.  */
 static void
 add_cause (struct brn_state *state, struct brn_series *series, uint32_t day,
            const struct brn_cause *cause)
 {
-  struct brn_day_cause wanted = { .day = day, .cause = *cause };
-  struct brn_day_cause *found = NULL;
-  if (day + BRN_BUDGET_DAYS < state->newest_day)
+  struct brn_day_cause day_cause = { .day = day, .cause = *cause };
+  struct brn_day_cause *existing = NULL;
+  if (day + BRN_BUDGET_WINDOW_DAYS < state->newest_day)
     {
       return;
     }
-  if (g_hash_table_lookup_extended (series->causes, &wanted,
-                                    (gpointer *)&found, NULL))
+  if (g_hash_table_lookup_extended (series->causes, &day_cause,
+                                    (gpointer *)&existing, NULL))
     {
-      found->cause.count += cause->count;
+      existing->cause.count += cause->count;
       return;
     }
   if (state->cause_count >= state->params.causes_max)
@@ -258,10 +265,10 @@
       return;
     }
   state->cause_count++;
-  g_hash_table_add (series->causes, g_memdup2 (&wanted, sizeof wanted));
+  g_hash_table_add (series->causes, g_memdup2 (&day_cause, sizeof day_cause));
 }
 
-/* Adds ENTRY, of BUCKET, to the rings of its series.  */
+/* Adds ENTRY, of BUCKET, to the ring buffers and causes of its series.  */
 void
 brn_add_entry (struct brn_state *state, uint32_t bucket,
                const struct brn_entry *entry)
@@ -273,10 +280,11 @@
     }
   uint32_t day = bucket / (BRN_DAY_S / BRN_BUCKET_S);
   enum brn_work work = entry->key.work;
-  add_to_ring (series->fine, BRN_FINE_CELLS, bucket, work, entry->counts);
-  add_to_ring (series->hours, BRN_HOUR_CELLS,
+  add_to_ring (series->buckets, BRN_BUCKET_RING_LENGTH, bucket, work,
+               entry->counts);
+  add_to_ring (series->hours, BRN_HOUR_RING_LENGTH,
                bucket / (BRN_HOUR_S / BRN_BUCKET_S), work, entry->counts);
-  add_to_ring (series->days, BRN_DAY_CELLS, day, work, entry->counts);
+  add_to_ring (series->days, BRN_DAY_RING_LENGTH, day, work, entry->counts);
   for (guint i = 0; i < entry->causes->len; i++)
     {
       add_cause (state, series, day,
@@ -284,11 +292,13 @@
     }
 }
 
-/* Notes that record SEQUENCE of BUCKET by INCARNATION is merged.  Returns
-   BRN_MERGED when it is the first time.  */
-enum brn_merge
-brn_note_seen (struct brn_state *state, uint64_t incarnation, uint32_t bucket,
-               uint32_t sequence)
+/* Registers record SEQUENCE of BUCKET by INCARNATION as merged.  Returns
+   BRN_MERGED when it was not registered before, BRN_DUPLICATE when it was, or
+   BRN_TOO_OLD when that is no longer known.  SEQUENCE has to be below
+   BRN_SEQUENCES_MAX.  */
+enum brn_merge_result
+brn_register_sequence (struct brn_state *state, uint64_t incarnation,
+                       uint32_t bucket, uint32_t sequence)
 {
   struct brn_source *source
       = g_hash_table_lookup (state->sources, &incarnation);
@@ -298,46 +308,48 @@
       source->incarnation = incarnation;
       g_hash_table_add (state->sources, source);
     }
-  struct seen_bucket *seen = &source->seen[bucket % SOURCE_BUCKETS];
-  if (seen->bucket > bucket)
+  struct merged_bucket *merged
+      = &source->merged[bucket % DUPLICATE_WINDOW_BUCKETS];
+  if (merged->bucket > bucket)
     {
       return BRN_TOO_OLD;
     }
-  if (seen->bucket < bucket)
+  if (merged->bucket < bucket)
     {
-      *seen = (struct seen_bucket){ .bucket = bucket };
+      *merged = (struct merged_bucket){ .bucket = bucket };
     }
   source->newest_bucket = MAX (source->newest_bucket, bucket);
   uint64_t bit = UINT64_C (1) << sequence;
-  if ((seen->sequences & bit) != 0)
+  if ((merged->sequences & bit) != 0)
     {
       return BRN_DUPLICATE;
     }
-  seen->sequences |= bit;
+  merged->sequences |= bit;
   return BRN_MERGED;
 }
 
-/* Adds RECORD, of any daemon, to STATE.  The order of records does not matter,
-   and the same record again changes nothing.  A record more than two hours
-   older than another one of the same daemon is refused, as repeats are not
-   known for so long.  */
-enum brn_merge
+/* Adds RECORD, of any daemon, to STATE.  Merging is commutative and
+   idempotent: neither the order of records nor duplicates change the report.
+   Returns BRN_MERGED, or why the record was not merged.  A record that is two
+   hours or more older than another one of the same daemon may be rejected as
+   too old, since duplicates are recognised for two hours only.  */
+enum brn_merge_result
 brn_merge (struct brn_state *state, const struct brn_record *record)
 {
   if (record->sequence >= BRN_SEQUENCES_MAX)
     {
       return BRN_MALFORMED;
     }
-  enum brn_merge merge = brn_note_seen (state, record->incarnation,
-                                        record->bucket, record->sequence);
-  if (merge != BRN_MERGED)
+  enum brn_merge_result result = brn_register_sequence (
+      state, record->incarnation, record->bucket, record->sequence);
+  if (result != BRN_MERGED)
     {
-      state->duplicates += merge == BRN_DUPLICATE;
-      state->too_old += merge == BRN_TOO_OLD;
-      return merge;
+      state->duplicates += result == BRN_DUPLICATE;
+      state->too_old += result == BRN_TOO_OLD;
+      return result;
     }
   state->merged++;
-  brn_advance (state, record->bucket);
+  brn_advance_day (state, record->bucket);
   for (guint i = 0; i < record->entries->len; i++)
     {
       brn_add_entry (state, record->bucket,
--- a/src/core/burn.h
+++ b/src/core/burn.h
@@ -1,6 +1,15 @@
-/* Service-level burn: counts good and bad work of each account against its
-   objectives, merges the counts of all daemons, and reports what is left of
-   the error budgets, how fast they burn and whether service slides. */
+/* Error budgets of the accounts' service-level objectives.
+
+   Each daemon counts its own requests by account, kind of work and objective
+   as good or bad (brn_observe).  Every minute it appends the new counts as a
+   record to a stream of the log (brn_tick), and it merges the records of all
+   daemons (brn_merge).  The report (brn_report) states for each objective what
+   is left of its error budget, how fast the budget is being spent (the burn
+   rate) and whether the service degrades from week to week.
+
+   This is a state machine without I/O: the daemon's control thread passes
+   events in with the current time, and carries out the appends that come
+   back. */
 #ifndef CORE_BURN_H
 #define CORE_BURN_H
 
@@ -13,58 +22,60 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define BRN_STREAM "burn"
-#define BRN_BUCKET_S 300
-#define BRN_SHORT_BUCKETS 12 /* an hour */
-#define BRN_LONG_HOURS 24
-#define BRN_BUDGET_DAYS 28
-#define BRN_TREND_DAYS 35
-#define BRN_SEQUENCES_MAX 64 /* records of one bucket by one daemon */
+#define BRN_STREAM "burn" /* stream of the log */
+#define BRN_BUCKET_S 300  /* records count by buckets of this length */
+#define BRN_SHORT_WINDOW_BUCKETS 12 /* one hour */
+#define BRN_LONG_WINDOW_HOURS 24
+#define BRN_BUDGET_WINDOW_DAYS 28
+#define BRN_TREND_WINDOW_DAYS 35
+#define BRN_SEQUENCES_MAX 64 /* records of one daemon for one bucket */
 
+/* Kinds of work, as requests are grouped in the report. */
 enum brn_work
 {
-  BRN_DRAFT,
-  BRN_KEYED,
-  BRN_LOOKUP,
+  BRN_DRAFT,  /* a request that generates tokens */
+  BRN_KEYED,  /* a call of a service with an idempotency key */
+  BRN_LOOKUP, /* a call of a service without a key */
   BRN_WORK_COUNT
 };
 
 enum brn_objective
 {
-  BRN_AVAILABILITY,
-  BRN_FIRST_TOKEN,
-  BRN_BETWEEN_TOKENS,
-  BRN_SETTLED,
+  BRN_AVAILABILITY,   /* the request is answered without an error */
+  BRN_FIRST_TOKEN,    /* time to the first token */
+  BRN_BETWEEN_TOKENS, /* mean time between two tokens */
+  BRN_SETTLED,        /* time to the answer of a keyed call */
   BRN_OBJECTIVE_COUNT
 };
 
-/* How one request ended.  Times below 0 are not counted. */
+/* How one request ended.  A time below 0 is not counted. */
 struct brn_outcome
 {
   const char *account;
   enum brn_work work;
   enum err_kind error;
   int64_t first_token_us;
-  int64_t between_tokens_us; /* mean of this request */
+  int64_t between_tokens_us; /* mean over this request */
   int64_t settled_us;
-  const char *endpoint; /* the last one that was tried; "": none */
-  const char *data_centre;
-  const struct cfg_objective *objective;
+  const char *endpoint;    /* the last one that was tried; "": none */
+  const char *data_centre; /* of that endpoint; "": not known */
+  const struct cfg_objective *objective; /* of the account */
 };
 
-/* Counts of one objective.  The sum of logarithms gives the geometric mean. */
+/* Counts of requests for one objective. */
 struct brn_count
 {
   uint32_t total;
-  uint32_t bad;
-  int64_t log_sum; /* of log2 of the time in us, in 1024ths */
+  uint32_t bad;    /* missed the objective */
+  int64_t log_sum; /* of log2 of the time in us, in 1024ths; gives the
+                      geometric mean */
 };
 
-/* Who had a part in bad work. */
+/* Number of bad requests with the same error, endpoint and data centre. */
 struct brn_cause
 {
   enum brn_objective objective;
-  enum err_kind error; /* ERR_NONE: late */
+  enum err_kind error; /* ERR_NONE: answered, but too late */
   char endpoint[CFG_NAME_BYTES];
   char data_centre[CFG_NAME_BYTES];
   uint32_t count;
@@ -76,36 +87,39 @@
   enum brn_work work;
 };
 
+/* Counts of one account and kind of work in a record. */
 struct brn_entry
 {
-  struct brn_key key; /* first: looked up by it */
+  struct brn_key key; /* first, as hash tables use the entry as its key */
   struct brn_count counts[BRN_OBJECTIVE_COUNT];
   GArray *causes; /* struct brn_cause */
 };
 
-/* What one daemon counted in one bucket since its record before.  Incarnation,
-   bucket and sequence identify it. */
+/* What one daemon counted in one bucket since its previous record.
+   Incarnation, bucket and sequence together identify the record. */
 struct brn_record
 {
-  uint64_t incarnation;
-  uint32_t bucket;    /* of BRN_BUCKET_S, since 1970 */
-  uint32_t sequence;  /* below BRN_SEQUENCES_MAX */
-  GPtrArray *entries; /* struct brn_entry */
+  uint64_t incarnation; /* of the daemon */
+  uint32_t bucket;      /* number of the bucket since 1970 */
+  uint32_t sequence;    /* counts from 0 in each bucket; below
+                           BRN_SEQUENCES_MAX */
+  GPtrArray *entries;   /* struct brn_entry */
 };
 
-enum brn_merge
+enum brn_merge_result
 {
   BRN_MERGED,
-  BRN_DUPLICATE,
-  BRN_TOO_OLD,
+  BRN_DUPLICATE, /* merged before */
+  BRN_TOO_OLD,   /* rejected: whether it was merged is no longer known */
   BRN_MALFORMED
 };
 
 struct brn_params
 {
-  uint64_t incarnation;
-  uint32_t series_max; /* pairs of account and work; 0: a default */
-  uint32_t causes_max; /* 0: a default */
+  uint64_t incarnation; /* of this daemon; differs for every start */
+  uint32_t series_max;  /* pairs of account and kind of work; 0: default */
+  uint32_t causes_max;  /* distinct causes by day, over all series; 0:
+                           default */
 };
 
 struct brn_state;
@@ -118,63 +132,71 @@
                bool flush, struct act_list *actions);
 void brn_append_result (struct brn_state *state, uint64_t token,
                         enum err_kind result, int64_t now_us);
-enum brn_merge brn_merge (struct brn_state *state,
-                          const struct brn_record *record);
+enum brn_merge_result brn_merge (struct brn_state *state,
+                                 const struct brn_record *record);
 
 GBytes *brn_pack (const struct brn_record *record);
 struct brn_record *brn_unpack (GBytes *bytes);
 void brn_record_destroy (struct brn_record *record);
 
+/* The state of one objective, best first. */
 enum brn_verdict
 {
   BRN_FINE,
-  BRN_SLIDING,   /* worse from week to week, by more than chance */
-  BRN_BURNING,   /* the budget goes too fast, now and over the long window */
+  BRN_SLIDING,   /* degrades from week to week, by more than noise */
+  BRN_BURNING,   /* burn rate too high over the short and the long window */
   BRN_EXHAUSTED, /* nothing is left of the budget */
   BRN_VERDICT_COUNT
 };
 
-/* The most frequent value among the causes of one line. */
-struct brn_top
+/* The most frequent error, endpoint or data centre among the causes of one
+   line. */
+struct brn_top_cause
 {
   char name[CFG_NAME_BYTES]; /* "": none */
-  double share;              /* of the bad work of the line */
+  double share;              /* fraction of the bad requests of the line */
 };
 
+/* Change of an objective over the trend window. */
 struct brn_trend
 {
-  uint32_t days;         /* with enough work to count */
-  double change_weekly;  /* times: relative; availability: of bad fraction */
+  uint32_t days;         /* with enough requests to use; 0: no trend */
+  double change_weekly;  /* times: relative, 0.02 is 2 % longer; availability:
+                            absolute change of the fraction of bad requests */
   double standard_error; /* of change_weekly */
 };
 
-struct brn_line
+/* The state of one objective of one account and kind of work.  Totals, causes
+   and budget are those of the budget window. */
+struct brn_report_line
 {
   char account[CFG_NAME_BYTES];
   enum brn_work work;
   enum brn_objective objective;
-  double target; /* fraction that is to be good */
-  uint64_t total;
+  double target;  /* fraction of requests that have to be good */
+  uint64_t total; /* requests */
   uint64_t bad;
-  double budget_left; /* 1: untouched; below 0: overdrawn */
-  double short_burn;  /* 1: the budget lasts just the whole window */
-  double long_burn;
+  double budget_left; /* fraction; 1: nothing used; below 0: exceeded */
+  double short_burn;  /* burn rate over the short window; at 1 the budget lasts
+                         exactly the budget window */
+  double long_burn;   /* burn rate over the long window */
   struct brn_trend trend;
-  struct brn_top error;
-  struct brn_top endpoint;
-  struct brn_top data_centre;
+  struct brn_top_cause error;
+  struct brn_top_cause endpoint;
+  struct brn_top_cause data_centre;
   enum brn_verdict verdict;
 };
 
+/* The counters are totals since the daemon started. */
 struct brn_report
 {
-  int64_t at_us;
-  GArray *lines; /* struct brn_line, by account, work and objective */
-  uint64_t merged;
-  uint64_t duplicates;
-  uint64_t too_old;
-  uint64_t dropped_causes;
-  uint64_t dropped_series;
+  int64_t at_us;   /* since 1970 */
+  GArray *lines;   /* struct brn_report_line, by account, work and objective */
+  uint64_t merged; /* records, those of this daemon excepted */
+  uint64_t duplicates;      /* records that were merged before */
+  uint64_t too_old;         /* records that were rejected */
+  uint64_t dropped_causes;  /* over causes_max */
+  uint64_t dropped_series;  /* entries not counted, over series_max */
   uint64_t dropped_records; /* of this daemon, in an outage of the log */
 };
 
--- a/src/core/burn_json.c
+++ b/src/core/burn_json.c
@@ -2,7 +2,7 @@
 #include "core/burn_private.h"
 
 static json_t *
-top_to_json (const struct brn_top *top)
+top_to_json (const struct brn_top_cause *top)
 {
   return top->name[0] == '\0' ? json_null ()
                               : json_pack ("{s:s, s:f}", "name", top->name,
@@ -10,7 +10,7 @@
 }
 
 static json_t *
-line_to_json (const struct brn_line *line)
+line_to_json (const struct brn_report_line *line)
 {
   return json_pack (
       "{s:s, s:s, s:s, s:f, s:I, s:I, s:f, s:f, s:f, s:s, s:{s:i, s:f, s:f},"
@@ -34,15 +34,17 @@
   json_t *lines = json_array ();
   for (guint i = 0; i < report->lines->len; i++)
     {
-      json_array_append_new (lines, line_to_json (&g_array_index (
-                                        report->lines, struct brn_line, i)));
+      json_array_append_new (
+          lines, line_to_json (&g_array_index (report->lines,
+                                               struct brn_report_line, i)));
     }
   return json_pack (
       "{s:I, s:{s:i, s:i, s:i, s:i}, s:{s:I, s:I, s:I, s:I, s:I, s:I}, s:o}",
       "at_us", (json_int_t)report->at_us, "windows", "short_s",
-      BRN_SHORT_BUCKETS * BRN_BUCKET_S, "long_s", BRN_LONG_HOURS * BRN_HOUR_S,
-      "budget_s", BRN_BUDGET_DAYS * BRN_DAY_S, "trend_s",
-      BRN_TREND_DAYS * BRN_DAY_S, "records", "merged",
+      BRN_SHORT_WINDOW_BUCKETS * BRN_BUCKET_S, "long_s",
+      BRN_LONG_WINDOW_HOURS * BRN_HOUR_S, "budget_s",
+      BRN_BUDGET_WINDOW_DAYS * BRN_DAY_S, "trend_s",
+      BRN_TREND_WINDOW_DAYS * BRN_DAY_S, "records", "merged",
       (json_int_t)report->merged, "duplicates", (json_int_t)report->duplicates,
       "too_old", (json_int_t)report->too_old, "dropped_causes",
       (json_int_t)report->dropped_causes, "dropped_series",
--- a/src/core/burn_observe.c
+++ b/src/core/burn_observe.c
@@ -49,14 +49,14 @@
       brn_close_record (state);
       state->open_bucket = bucket;
       state->next_sequence = 0;
-      brn_advance (state, bucket);
+      brn_advance_day (state, bucket);
     }
   if (state->open == NULL)
     {
       state->open = brn_record_create (
           state->params.incarnation, state->open_bucket, state->next_sequence);
-      brn_note_seen (state, state->params.incarnation, state->open_bucket,
-                     state->next_sequence);
+      brn_register_sequence (state, state->params.incarnation,
+                             state->open_bucket, state->next_sequence);
     }
 }
 
@@ -165,7 +165,7 @@
   for (int i = 0; i < BRN_OBJECTIVE_COUNT; i++)
     {
       struct brn_count *count = &single->counts[i];
-      if (!brn_applies (outcome->work, (enum brn_objective)i)
+      if (!brn_objective_applies (outcome->work, (enum brn_objective)i)
           || !judge (outcome, (enum brn_objective)i, count))
         {
           continue;
--- a/src/core/burn_private.h
+++ b/src/core/burn_private.h
@@ -1,4 +1,4 @@
-/* State of the burn counts.  Private to burn*.c. */
+/* State behind the error budgets.  Private to burn*.c. */
 #ifndef CORE_BURN_PRIVATE_H
 #define CORE_BURN_PRIVATE_H
 
@@ -7,31 +7,33 @@
 #define BRN_HOUR_S 3600
 #define BRN_DAY_S 86400
 
-/* One more than a window needs: the period that has begun. */
-#define BRN_FINE_CELLS (BRN_SHORT_BUCKETS + 1)
-#define BRN_HOUR_CELLS (BRN_LONG_HOURS + 1)
-#define BRN_DAY_CELLS (BRN_TREND_DAYS + 1)
+/* Ring buffers hold one period more than their window: the current one. */
+#define BRN_BUCKET_RING_LENGTH (BRN_SHORT_WINDOW_BUCKETS + 1)
+#define BRN_HOUR_RING_LENGTH (BRN_LONG_WINDOW_HOURS + 1)
+#define BRN_DAY_RING_LENGTH (BRN_TREND_WINDOW_DAYS + 1)
 
-/* Settled and first token share a place, as no work has both. */
-#define BRN_PLACES (BRN_OBJECTIVE_COUNT - 1)
+/* BRN_SETTLED and BRN_FIRST_TOKEN share a slot, as no kind of work has
+   both. */
+#define BRN_COUNT_SLOTS (BRN_OBJECTIVE_COUNT - 1)
 
-/* Counts of one period. */
-struct brn_cell
+/* Counts of one period: a bucket, hour or day. */
+struct brn_period_counts
 {
-  uint32_t period; /* since 1970 */
-  struct brn_count counts[BRN_PLACES];
+  uint32_t period; /* its number since 1970 */
+  struct brn_count counts[BRN_COUNT_SLOTS];
 };
 
-/* Counts of one account and kind of work, in rings by period. */
+/* Counts of one account and kind of work, in ring buffers by period. */
 struct brn_series
 {
-  struct brn_key key; /* first: looked up by it */
-  struct brn_cell fine[BRN_FINE_CELLS];
-  struct brn_cell hours[BRN_HOUR_CELLS];
-  struct brn_cell days[BRN_DAY_CELLS];
+  struct brn_key key; /* first, as hash tables use the series as its key */
+  struct brn_period_counts buckets[BRN_BUCKET_RING_LENGTH];
+  struct brn_period_counts hours[BRN_HOUR_RING_LENGTH];
+  struct brn_period_counts days[BRN_DAY_RING_LENGTH];
   GHashTable *causes; /* set of struct brn_day_cause */
 };
 
+/* A cause, counted over one day. */
 struct brn_day_cause
 {
   uint32_t day;
@@ -43,18 +45,23 @@
   struct brn_params params;
   GHashTable *series;  /* set of struct brn_series */
   GHashTable *sources; /* set of struct brn_source, by incarnation */
-  GPtrArray *closed;   /* struct brn_record, own, not in the log yet */
-  struct brn_record *open;
-  GHashTable *open_entries; /* set of those of `open' */
-  uint32_t open_bucket;     /* only rises */
-  uint32_t next_sequence;   /* of open_bucket */
-  uint64_t append_token;    /* of the first of `closed'; 0: none under way */
+
+  /* Records of this daemon.  */
+  GPtrArray *closed; /* struct brn_record, oldest first; not confirmed by the
+                        log yet */
+  struct brn_record *open;  /* the one being counted in; NULL: none */
+  GHashTable *open_entries; /* set of struct brn_entry, those of `open' */
+  uint32_t open_bucket;     /* never decreases */
+  uint32_t next_sequence;   /* in open_bucket */
+  uint64_t append_token;    /* of the append of the first of `closed' that is
+                               in progress; 0: none */
   uint64_t last_token;
-  int64_t next_flush_us;
-  int64_t retry_at_us;
+  int64_t next_flush_us;  /* monotonic */
+  int64_t retry_at_us;    /* monotonic; no append before */
   int64_t retry_delay_us; /* 0: the last append was confirmed */
-  uint32_t newest_day;
-  uint32_t cause_count;
+
+  uint32_t newest_day;  /* since 1970 */
+  uint32_t cause_count; /* over all series */
   uint64_t merged;
   uint64_t duplicates;
   uint64_t too_old;
@@ -63,16 +70,18 @@
   uint64_t dropped_records;
 };
 
-void brn_advance (struct brn_state *state, uint32_t bucket);
+void brn_advance_day (struct brn_state *state, uint32_t bucket);
 void brn_add_entry (struct brn_state *state, uint32_t bucket,
                     const struct brn_entry *entry);
-enum brn_merge brn_note_seen (struct brn_state *state, uint64_t incarnation,
-                              uint32_t bucket, uint32_t sequence);
+enum brn_merge_result brn_register_sequence (struct brn_state *state,
+                                             uint64_t incarnation,
+                                             uint32_t bucket,
+                                             uint32_t sequence);
 bool brn_same_cause (const struct brn_cause *left,
                      const struct brn_cause *right);
 void brn_close_record (struct brn_state *state);
-bool brn_applies (enum brn_work work, enum brn_objective objective);
-uint32_t brn_place (enum brn_objective objective);
+bool brn_objective_applies (enum brn_work work, enum brn_objective objective);
+uint32_t brn_count_slot (enum brn_objective objective);
 struct brn_record *brn_record_create (uint64_t incarnation, uint32_t bucket,
                                       uint32_t sequence);
 GPtrArray *brn_records_create (void);
--- a/src/core/burn_record.c
+++ b/src/core/burn_record.c
@@ -121,7 +121,7 @@
   packed->log_sum = g_new (int64_t, BRN_OBJECTIVE_COUNT);
   for (int i = 0; i < BRN_OBJECTIVE_COUNT; i++)
     {
-      if (brn_applies (entry->key.work, (enum brn_objective)i))
+      if (brn_objective_applies (entry->key.work, (enum brn_objective)i))
         {
           packed->total[packed->n_total++] = entry->counts[i].total;
           packed->bad[packed->n_bad++] = entry->counts[i].bad;
@@ -240,7 +240,7 @@
   size_t next = 0;
   for (int i = 0; i < BRN_OBJECTIVE_COUNT; i++)
     {
-      if (!brn_applies (entry->key.work, (enum brn_objective)i))
+      if (!brn_objective_applies (entry->key.work, (enum brn_objective)i))
         {
           continue;
         }
--- a/src/core/burn_report.c
+++ b/src/core/burn_report.c
@@ -59,7 +59,7 @@
 
 /* Adds the cells of the COUNT periods up to LAST to SUM.  */
 static void
-sum_ring (const struct brn_cell *ring, uint32_t length, uint32_t last,
+sum_ring (const struct brn_period_counts *ring, uint32_t length, uint32_t last,
           uint32_t count, uint32_t place, uint64_t *total, uint64_t *bad)
 {
   *total = 0;
@@ -104,21 +104,22 @@
 
 /* Returns the name that most of the bad work of OBJECTIVE has; of equal ones
    the first in the alphabet, so that all hosts agree.  */
-static struct brn_top
+static struct brn_top_cause
 find_top (const struct brn_series *series, enum brn_objective objective,
           uint64_t bad, uint32_t today, cause_name name_of)
 {
   GHashTable *counts = g_hash_table_new (g_str_hash, g_str_equal);
   GHashTableIter iterator;
   const struct brn_day_cause *cause = NULL;
-  struct brn_top top = { 0 };
+  struct brn_top_cause top = { 0 };
   gsize most = 0;
   g_hash_table_iter_init (&iterator, series->causes);
   while (g_hash_table_iter_next (&iterator, (gpointer *)&cause, NULL))
     {
       const char *name = name_of (&cause->cause);
       if (cause->cause.objective != objective || name[0] == '\0'
-          || cause->day + BRN_BUDGET_DAYS <= today || cause->day > today)
+          || cause->day + BRN_BUDGET_WINDOW_DAYS <= today
+          || cause->day > today)
         {
           continue;
         }
@@ -145,7 +146,7 @@
 
 /* Returns true when the trend of LINE is a slide.  */
 static bool
-is_sliding (const struct brn_line *line)
+is_sliding (const struct brn_report_line *line)
 {
   const struct brn_trend *trend = &line->trend;
   double least = line->objective == BRN_AVAILABILITY
@@ -156,7 +157,7 @@
 }
 
 static enum brn_verdict
-judge_line (const struct brn_line *line)
+judge_line (const struct brn_report_line *line)
 {
   if (line->budget_left <= 0)
     {
@@ -170,28 +171,28 @@
 }
 
 /* Returns the line of one OBJECTIVE of SERIES at NOW_S.  */
-static struct brn_line
+static struct brn_report_line
 make_line (const struct brn_series *series, enum brn_objective objective,
            double target, uint32_t now_s)
 {
-  uint32_t place = brn_place (objective);
+  uint32_t place = brn_count_slot (objective);
   uint32_t today = now_s / BRN_DAY_S;
   uint64_t total = 0;
   uint64_t bad = 0;
-  struct brn_line line = {
+  struct brn_report_line line = {
     .work = series->key.work,
     .objective = objective,
     .target = target,
   };
   g_strlcpy (line.account, series->key.account, sizeof line.account);
-  sum_ring (series->fine, BRN_FINE_CELLS, now_s / BRN_BUCKET_S,
-            BRN_SHORT_BUCKETS, place, &total, &bad);
+  sum_ring (series->buckets, BRN_BUCKET_RING_LENGTH, now_s / BRN_BUCKET_S,
+            BRN_SHORT_WINDOW_BUCKETS, place, &total, &bad);
   line.short_burn = burn_rate (total, bad, target);
-  sum_ring (series->hours, BRN_HOUR_CELLS, now_s / BRN_HOUR_S, BRN_LONG_HOURS,
-            place, &total, &bad);
+  sum_ring (series->hours, BRN_HOUR_RING_LENGTH, now_s / BRN_HOUR_S,
+            BRN_LONG_WINDOW_HOURS, place, &total, &bad);
   line.long_burn = burn_rate (total, bad, target);
-  sum_ring (series->days, BRN_DAY_CELLS, today, BRN_BUDGET_DAYS, place,
-            &line.total, &line.bad);
+  sum_ring (series->days, BRN_DAY_RING_LENGTH, today, BRN_BUDGET_WINDOW_DAYS,
+            place, &line.total, &line.bad);
   line.budget_left = 1 - burn_rate (line.total, line.bad, target);
   line.trend = brn_fit_trend (series, objective, today);
   line.error = find_top (series, objective, line.bad, today, error_of);
@@ -219,14 +220,15 @@
   for (int i = 0; i < BRN_OBJECTIVE_COUNT; i++)
     {
       enum brn_objective objective = (enum brn_objective)i;
-      if (!brn_applies (series->key.work, objective))
+      if (!brn_objective_applies (series->key.work, objective))
         {
           continue;
         }
       double target = objective == BRN_AVAILABILITY
                           ? account->objective.availability
                           : TIME_TARGET;
-      struct brn_line line = make_line (series, objective, target, now_s);
+      struct brn_report_line line
+          = make_line (series, objective, target, now_s);
       if (line.total > 0)
         {
           g_array_append_val (lines, line);
@@ -245,7 +247,7 @@
   struct brn_report *report = g_new (struct brn_report, 1);
   *report = (struct brn_report){
     .at_us = now_us,
-    .lines = g_array_new (FALSE, TRUE, sizeof (struct brn_line)),
+    .lines = g_array_new (FALSE, TRUE, sizeof (struct brn_report_line)),
     .merged = state->merged,
     .duplicates = state->duplicates,
     .too_old = state->too_old,
--- a/src/core/burn_trend.c
+++ b/src/core/burn_trend.c
@@ -21,10 +21,10 @@
 /* Sets POINT to the value of CELL: the mean of log2 of the time, or the
    fraction of bad work.  Returns false when there was too little work.  */
 static bool
-read_point (const struct brn_cell *cell, enum brn_objective objective,
+read_point (const struct brn_period_counts *cell, enum brn_objective objective,
             struct point *point)
 {
-  const struct brn_count *count = &cell->counts[brn_place (objective)];
+  const struct brn_count *count = &cell->counts[brn_count_slot (objective)];
   if (count->total < DAY_TOTAL_MIN)
     {
       return false;
@@ -44,10 +44,10 @@
              uint32_t today, struct point *points)
 {
   uint32_t count = 0;
-  for (int i = 0; i < BRN_DAY_CELLS; i++)
+  for (int i = 0; i < BRN_DAY_RING_LENGTH; i++)
     {
-      const struct brn_cell *cell = &series->days[i];
-      if (cell->period < today && cell->period + BRN_TREND_DAYS >= today
+      const struct brn_period_counts *cell = &series->days[i];
+      if (cell->period < today && cell->period + BRN_TREND_WINDOW_DAYS >= today
           && read_point (cell, objective, &points[count]))
         {
           count++;
@@ -98,7 +98,7 @@
 brn_fit_trend (const struct brn_series *series, enum brn_objective objective,
                uint32_t today)
 {
-  struct point points[BRN_DAY_CELLS];
+  struct point points[BRN_DAY_RING_LENGTH];
   uint32_t count = read_points (series, objective, today, points);
   if (count < DAYS_MIN)
     {
--- a/test/burn_fixture.c
+++ b/test/burn_fixture.c
@@ -28,7 +28,7 @@
 
 /* A draft of ACCOUNT that went well unless ERROR says otherwise.  */
 struct brn_outcome
-bfx_draft (uint32_t account, enum err_kind error)
+bfx_draft_outcome (uint32_t account, enum err_kind error)
 {
   return (struct brn_outcome){
     .account = bfx_accounts[account].name,
@@ -55,16 +55,17 @@
 
 /* Copies the line of the report at NOW_US; its total is 0 when there is
    none.  */
-struct brn_line
-bfx_line_of (const struct brn_state *state, const char *account,
-             enum brn_work work, enum brn_objective objective, int64_t now_us)
+struct brn_report_line
+bfx_find_line (const struct brn_state *state, const char *account,
+               enum brn_work work, enum brn_objective objective,
+               int64_t now_us)
 {
-  struct brn_line found = { 0 };
+  struct brn_report_line found = { 0 };
   struct brn_report *report = brn_report (state, &bfx_config, now_us);
   for (guint i = 0; i < report->lines->len; i++)
     {
-      const struct brn_line *line
-          = &g_array_index (report->lines, struct brn_line, i);
+      const struct brn_report_line *line
+          = &g_array_index (report->lines, struct brn_report_line, i);
       if (strcmp (line->account, account) == 0 && line->work == work
           && line->objective == objective)
         {
@@ -84,7 +85,7 @@
 /* Returns the records (struct brn_record) that STATE appends to a log that
    takes each of them.  */
 GPtrArray *
-bfx_take_records (struct brn_state *state, int64_t now_us)
+bfx_flush_records (struct brn_state *state, int64_t now_us)
 {
   GPtrArray *records = g_ptr_array_new_with_free_func (destroy_record);
   struct act_list *actions = act_list_create ();
--- a/test/burn_fixture.h
+++ b/test/burn_fixture.h
@@ -15,12 +15,13 @@
 extern const struct cfg_config bfx_config;
 
 struct brn_state *bfx_create (uint64_t incarnation);
-struct brn_outcome bfx_draft (uint32_t account, enum err_kind error);
+struct brn_outcome bfx_draft_outcome (uint32_t account, enum err_kind error);
 void bfx_observe (struct brn_state *state, struct brn_outcome outcome,
                   int64_t now_us, uint32_t times);
-GPtrArray *bfx_take_records (struct brn_state *state, int64_t now_us);
-struct brn_line bfx_line_of (const struct brn_state *state,
-                             const char *account, enum brn_work work,
-                             enum brn_objective objective, int64_t now_us);
+GPtrArray *bfx_flush_records (struct brn_state *state, int64_t now_us);
+struct brn_report_line bfx_find_line (const struct brn_state *state,
+                                      const char *account, enum brn_work work,
+                                      enum brn_objective objective,
+                                      int64_t now_us);
 
 #endif
--- a/test/burn_outbox_test.c
+++ b/test/burn_outbox_test.c
@@ -56,7 +56,7 @@
     {
       struct brn_record *record = brn_unpack (action->bytes);
       assert_non_null (record);
-      enum brn_merge merge = brn_merge (log->reader, record);
+      enum brn_merge_result merge = brn_merge (log->reader, record);
       assert_in_range (merge, BRN_MERGED, BRN_DUPLICATE);
       brn_record_destroy (record);
     }
@@ -75,7 +75,7 @@
   for (; now_us <= START_US + WORK_US; now_us += TICK_US)
     {
       bool last = now_us == START_US + WORK_US;
-      bfx_observe (writer, bfx_draft (0, ERR_NONE), now_us, 1);
+      bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), now_us, 1);
       observed++;
       brn_tick (writer, now_us, now_us, last, actions);
       while (act_list_length (actions) > 0)
@@ -104,8 +104,8 @@
       struct brn_state *writer = bfx_create (2);
       uint32_t observed = work (&log, writer);
       int64_t now_us = START_US + WORK_US;
-      struct brn_line line = bfx_line_of (log.reader, "trust", BRN_DRAFT,
-                                          BRN_AVAILABILITY, now_us);
+      struct brn_report_line line = bfx_find_line (
+          log.reader, "trust", BRN_DRAFT, BRN_AVAILABILITY, now_us);
       struct brn_report *report = brn_report (writer, &bfx_config, now_us);
       uint64_t per_record = BUCKET_US / TICK_US;
       uint64_t lost = observed - line.total;
@@ -134,9 +134,10 @@
   (void)state;
   struct brn_state *writer = bfx_create (2);
   struct act_list *actions = act_list_create ();
-  bfx_observe (writer, bfx_draft (0, ERR_NONE), START_US, 1);
+  bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), START_US, 1);
   brn_tick (writer, START_US, START_US, true, actions);
-  bfx_observe (writer, bfx_draft (0, ERR_NONE), START_US + BUCKET_US, 1);
+  bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), START_US + BUCKET_US,
+               1);
   brn_tick (writer, START_US + BUCKET_US, START_US + BUCKET_US, true, actions);
   assert_int_equal (act_list_length (actions), 1);
   uint64_t token = act_list_get (actions, 0)->append.token;
@@ -163,7 +164,7 @@
   int64_t now_us = START_US;
   for (uint32_t i = 0; i < buckets; i++)
     {
-      bfx_observe (writer, bfx_draft (0, ERR_NONE), now_us, 1);
+      bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), now_us, 1);
       brn_tick (writer, now_us, now_us, true, actions);
       now_us += BUCKET_US;
     }
@@ -175,8 +176,8 @@
       brn_tick (writer, now_us, now_us, true, actions);
     }
   struct brn_report *report = brn_report (writer, &bfx_config, now_us);
-  struct brn_line line
-      = bfx_line_of (log.reader, "trust", BRN_DRAFT, BRN_AVAILABILITY, now_us);
+  struct brn_report_line line = bfx_find_line (log.reader, "trust", BRN_DRAFT,
+                                               BRN_AVAILABILITY, now_us);
   assert_int_equal (line.total + report->dropped_records, buckets);
   assert_in_range (report->dropped_records, 1, buckets / 2);
   brn_report_destroy (report);
@@ -221,7 +222,7 @@
     {
       struct brn_state *writer = bfx_create (2);
       int64_t now_us = START_US;
-      bfx_observe (writer, bfx_draft (0, ERR_NONE), START_US, 1);
+      bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), START_US, 1);
       for (uint32_t j = 0; j < retry_cases[i].failures; j++)
         {
           now_us += 60 * SECOND_US;
--- a/test/burn_report_test.c
+++ b/test/burn_report_test.c
@@ -43,7 +43,7 @@
     {
       const struct outcome_case *c = &outcome_cases[i];
       struct brn_state *burn = bfx_create (1);
-      struct brn_outcome outcome = bfx_draft (0, c->error);
+      struct brn_outcome outcome = bfx_draft_outcome (0, c->error);
       outcome.work = c->work;
       outcome.first_token_us = c->first_token_us;
       outcome.between_tokens_us = c->between_tokens_us;
@@ -51,8 +51,8 @@
       brn_observe (burn, &outcome, START_US);
       for (int j = 0; j < BRN_OBJECTIVE_COUNT; j++)
         {
-          struct brn_line line = bfx_line_of (burn, "trust", c->work,
-                                              (enum brn_objective)j, START_US);
+          struct brn_report_line line = bfx_find_line (
+              burn, "trust", c->work, (enum brn_objective)j, START_US);
           if (line.total != (uint64_t)c->total[j]
               || line.bad != (uint64_t)c->bad[j])
             {
@@ -95,7 +95,7 @@
           seed = seed * 1664525 + 1013904223;
           double noise
               = ((double)(seed >> 8) / (1 << 24) - 0.5) * 2 * c->noise / 1000;
-          struct brn_outcome outcome = bfx_draft (0, ERR_NONE);
+          struct brn_outcome outcome = bfx_draft_outcome (0, ERR_NONE);
           outcome.first_token_us = (int64_t)(base_us * (1 + noise));
           brn_observe (state, &outcome,
                        START_US + day * DAY_US + i * HOUR_US / 2);
@@ -107,7 +107,7 @@
 static void
 fill_today (struct brn_state *state, int64_t now_us)
 {
-  struct brn_outcome outcome = bfx_draft (0, ERR_NONE);
+  struct brn_outcome outcome = bfx_draft_outcome (0, ERR_NONE);
   outcome.first_token_us = 650000;
   bfx_observe (state, outcome, now_us, 40);
 }
@@ -125,8 +125,8 @@
       fill_days (burn, c);
       int64_t now_us = START_US + c->days * DAY_US + 60 * SECOND_US;
       fill_today (burn, now_us);
-      struct brn_line line
-          = bfx_line_of (burn, "trust", BRN_DRAFT, BRN_FIRST_TOKEN, now_us);
+      struct brn_report_line line
+          = bfx_find_line (burn, "trust", BRN_DRAFT, BRN_FIRST_TOKEN, now_us);
       bool sliding = line.verdict == BRN_SLIDING;
       double off = line.trend.change_weekly - c->weekly;
       if (line.bad != 0 || sliding != c->sliding
@@ -151,14 +151,14 @@
   for (int day = 0; day < 28; day++)
     {
       int64_t now_us = START_US + day * DAY_US;
-      struct brn_outcome good = bfx_draft (1, ERR_NONE);
-      struct brn_outcome bad = bfx_draft (1, ERR_KEY_UNKNOWN);
+      struct brn_outcome good = bfx_draft_outcome (1, ERR_NONE);
+      struct brn_outcome bad = bfx_draft_outcome (1, ERR_KEY_UNKNOWN);
       good.work = BRN_KEYED;
       bad.work = BRN_KEYED;
       bfx_observe (burn, good, now_us, 2000);
       bfx_observe (burn, bad, now_us, (uint32_t)day / 2);
     }
-  struct brn_line line = bfx_line_of (
+  struct brn_report_line line = bfx_find_line (
       burn, "brightwell", BRN_KEYED, BRN_AVAILABILITY, START_US + 28 * DAY_US);
   assert_int_equal (line.verdict, BRN_SLIDING);
   assert_true (line.trend.change_weekly > 0.0015);
@@ -177,20 +177,20 @@
   int64_t now_us = START_US;
   for (int hour = 0; hour < 24 * 20; hour++)
     {
-      bfx_observe (burn, bfx_draft (1, ERR_NONE), now_us, 50);
+      bfx_observe (burn, bfx_draft_outcome (1, ERR_NONE), now_us, 50);
       now_us += HOUR_US;
     }
-  struct brn_line before
-      = bfx_line_of (burn, "brightwell", BRN_DRAFT, BRN_AVAILABILITY, now_us);
+  struct brn_report_line before = bfx_find_line (burn, "brightwell", BRN_DRAFT,
+                                                 BRN_AVAILABILITY, now_us);
   assert_int_equal (before.verdict, BRN_FINE);
   assert_true (before.budget_left == 1);
-  struct brn_outcome silent = bfx_draft (1, ERR_ENDPOINT_SILENT);
+  struct brn_outcome silent = bfx_draft_outcome (1, ERR_ENDPOINT_SILENT);
   silent.endpoint = "engine-2";
   silent.data_centre = "mandeville-1";
   bfx_observe (burn, silent, now_us, 150);
-  bfx_observe (burn, bfx_draft (1, ERR_NO_CAPACITY), now_us, 50);
-  struct brn_line line
-      = bfx_line_of (burn, "brightwell", BRN_DRAFT, BRN_AVAILABILITY, now_us);
+  bfx_observe (burn, bfx_draft_outcome (1, ERR_NO_CAPACITY), now_us, 50);
+  struct brn_report_line line = bfx_find_line (burn, "brightwell", BRN_DRAFT,
+                                               BRN_AVAILABILITY, now_us);
   assert_int_equal (line.verdict, BRN_BURNING);
   assert_int_equal (line.bad, 200);
   assert_true (line.short_burn > 75);
@@ -201,7 +201,8 @@
   assert_string_equal (line.endpoint.name, "engine-2");
   assert_string_equal (line.data_centre.name, "mandeville-1");
   bfx_observe (burn, silent, now_us, 100);
-  line = bfx_line_of (burn, "brightwell", BRN_DRAFT, BRN_AVAILABILITY, now_us);
+  line = bfx_find_line (burn, "brightwell", BRN_DRAFT, BRN_AVAILABILITY,
+                        now_us);
   assert_int_equal (line.verdict, BRN_EXHAUSTED);
   brn_destroy (burn);
 }
@@ -212,7 +213,7 @@
 {
   (void)state;
   struct brn_state *burn = bfx_create (1);
-  bfx_observe (burn, bfx_draft (0, ERR_ENDPOINT_FAILED), START_US, 10);
+  bfx_observe (burn, bfx_draft_outcome (0, ERR_ENDPOINT_FAILED), START_US, 10);
   static const struct
   {
     int64_t after_us;
@@ -231,8 +232,8 @@
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       int64_t now_us = START_US + cases[i].after_us;
-      struct brn_line line
-          = bfx_line_of (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, now_us);
+      struct brn_report_line line
+          = bfx_find_line (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, now_us);
       assert_int_equal (line.short_burn > 0, cases[i].in_short);
       assert_int_equal (line.long_burn > 0, cases[i].in_long);
       assert_int_equal (line.bad > 0, cases[i].in_budget);
--- a/test/burn_test.c
+++ b/test/burn_test.c
@@ -24,14 +24,16 @@
         {
           int64_t now_us = START_US + step * BUCKET_US / 2;
           uint32_t amount = (uint32_t)(daemon * 10 + (uint64_t)step + 1);
-          bfx_observe (burn, bfx_draft (step % 2, ERR_NONE), now_us, amount);
-          bfx_observe (burn, bfx_draft (0, ERR_ENDPOINT_FAILED), now_us, 1);
+          bfx_observe (burn, bfx_draft_outcome (step % 2, ERR_NONE), now_us,
+                       amount);
+          bfx_observe (burn, bfx_draft_outcome (0, ERR_ENDPOINT_FAILED),
+                       now_us, 1);
           if (daemon + 1 == DAEMONS && step == 5)
             {
               *unflushed = amount + 1;
               break;
             }
-          GPtrArray *taken = bfx_take_records (burn, now_us);
+          GPtrArray *taken = bfx_flush_records (burn, now_us);
           g_ptr_array_extend_and_steal (log, taken);
         }
       brn_destroy (burn);
@@ -105,10 +107,11 @@
           size_t place = order == 0 ? i : G_N_ELEMENTS (after_us) - 1 - i;
           struct brn_state *writer = bfx_create (10 + place);
           int64_t at_us = START_US + after_us[place];
-          bfx_observe (writer, bfx_draft (0, ERR_ENDPOINT_FAILED), at_us, 1);
-          bfx_observe (writer, bfx_draft (0, ERR_NONE), at_us,
+          bfx_observe (writer, bfx_draft_outcome (0, ERR_ENDPOINT_FAILED),
+                       at_us, 1);
+          bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), at_us,
                        1 + (uint32_t)place);
-          GPtrArray *taken = bfx_take_records (writer, at_us);
+          GPtrArray *taken = bfx_flush_records (writer, at_us);
           brn_merge (reader, g_ptr_array_index (taken, 0));
           g_ptr_array_free (taken, TRUE);
           brn_destroy (writer);
@@ -177,8 +180,8 @@
   uint64_t total = 0;
   for (size_t i = 0; i < BFX_ACCOUNTS; i++)
     {
-      total += bfx_line_of (reader, bfx_accounts[i].name, BRN_DRAFT,
-                            BRN_AVAILABILITY, START_US + 4 * BUCKET_US)
+      total += bfx_find_line (reader, bfx_accounts[i].name, BRN_DRAFT,
+                              BRN_AVAILABILITY, START_US + 4 * BUCKET_US)
                    .total;
     }
   /* steps 1 to 6 of each daemon, 10 more for each daemon, and a failure */
@@ -195,16 +198,16 @@
 {
   (void)state;
   struct brn_state *burn = bfx_create (1);
-  bfx_observe (burn, bfx_draft (0, ERR_NONE), START_US, 3);
-  GPtrArray *taken = bfx_take_records (burn, START_US);
+  bfx_observe (burn, bfx_draft_outcome (0, ERR_NONE), START_US, 3);
+  GPtrArray *taken = bfx_flush_records (burn, START_US);
   assert_int_equal (taken->len, 1);
   assert_int_equal (brn_merge (burn, g_ptr_array_index (taken, 0)),
                     BRN_DUPLICATE);
-  struct brn_line line
-      = bfx_line_of (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, START_US);
+  struct brn_report_line line
+      = bfx_find_line (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, START_US);
   assert_int_equal (line.total, 3);
   g_ptr_array_free (taken, TRUE);
-  taken = bfx_take_records (burn, START_US);
+  taken = bfx_flush_records (burn, START_US);
   assert_int_equal (taken->len, 0);
   g_ptr_array_free (taken, TRUE);
   brn_destroy (burn);
@@ -225,9 +228,9 @@
       int64_t now_us = START_US + (over ? BUCKET_US : 0);
       if (!over)
         {
-          bfx_observe (burn, bfx_draft (0, ERR_NONE), now_us, 1);
+          bfx_observe (burn, bfx_draft_outcome (0, ERR_NONE), now_us, 1);
         }
-      GPtrArray *taken = bfx_take_records (burn, now_us);
+      GPtrArray *taken = bfx_flush_records (burn, now_us);
       records += taken->len;
       for (guint j = 0; j < taken->len; j++)
         {
@@ -237,8 +240,8 @@
       g_ptr_array_free (taken, TRUE);
     }
   assert_int_equal (records, BRN_SEQUENCES_MAX);
-  assert_int_equal (bfx_line_of (reader, "trust", BRN_DRAFT, BRN_AVAILABILITY,
-                                 START_US + BUCKET_US)
+  assert_int_equal (bfx_find_line (reader, "trust", BRN_DRAFT,
+                                   BRN_AVAILABILITY, START_US + BUCKET_US)
                         .total,
                     200);
   brn_destroy (burn);
@@ -255,7 +258,7 @@
   static const struct
   {
     uint32_t bucket;
-    enum brn_merge merge;
+    enum brn_merge_result merge;
   } cases[] = {
     { 1000, BRN_MERGED },    { 1000, BRN_DUPLICATE }, { 1001, BRN_MERGED },
     { 1024, BRN_MERGED },    { 1000, BRN_TOO_OLD },   { 1002, BRN_MERGED },
@@ -283,17 +286,17 @@
     {
       char name[16];
       g_snprintf (name, sizeof name, "engine-%d", i);
-      struct brn_outcome outcome = bfx_draft (0, ERR_ENDPOINT_FAILED);
+      struct brn_outcome outcome = bfx_draft_outcome (0, ERR_ENDPOINT_FAILED);
       outcome.endpoint = name;
       brn_observe (burn, &outcome, START_US);
     }
-  bfx_observe (burn, bfx_draft (1, ERR_NONE), START_US, 1);
+  bfx_observe (burn, bfx_draft_outcome (1, ERR_NONE), START_US, 1);
   struct brn_report *report = brn_report (burn, &bfx_config, START_US);
   assert_int_equal (report->dropped_causes, 3);
   assert_int_equal (report->dropped_series, 1);
   brn_report_destroy (report);
   assert_int_equal (
-      bfx_line_of (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, START_US).bad,
+      bfx_find_line (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, START_US).bad,
       5);
   brn_destroy (burn);
 }
@@ -310,10 +313,11 @@
     {
       int64_t now_us = START_US + after_us[i];
       struct brn_state *writer = bfx_create (10 + i);
-      bfx_observe (writer,
-                   bfx_draft (0, i == 0 ? ERR_NONE : ERR_ENDPOINT_FAILED),
-                   now_us, 1);
-      GPtrArray *taken = bfx_take_records (writer, now_us);
+      bfx_observe (
+          writer,
+          bfx_draft_outcome (0, i == 0 ? ERR_NONE : ERR_ENDPOINT_FAILED),
+          now_us, 1);
+      GPtrArray *taken = bfx_flush_records (writer, now_us);
       brn_merge (reader, g_ptr_array_index (taken, 0));
       g_ptr_array_free (taken, TRUE);
       brn_destroy (writer);
@@ -363,7 +367,7 @@
     {
       char name[CFG_NAME_BYTES];
       g_snprintf (name, sizeof name, "account-%05d", i);
-      struct brn_outcome outcome = bfx_draft (0, ERR_NONE);
+      struct brn_outcome outcome = bfx_draft_outcome (0, ERR_NONE);
       outcome.account = name;
       bfx_observe (burn, outcome, START_US, 500);
       outcome.work = BRN_KEYED;
@@ -372,7 +376,7 @@
       outcome.work = BRN_LOOKUP;
       bfx_observe (burn, outcome, START_US, 200);
     }
-  GPtrArray *taken = bfx_take_records (burn, START_US);
+  GPtrArray *taken = bfx_flush_records (burn, START_US);
   GBytes *bytes = brn_pack (g_ptr_array_index (taken, 0));
   gsize per_account = g_bytes_get_size (bytes) / 100;
   print_message ("%zu bytes for an account in a bucket\n", per_account);
