--- a/src/core/burn_json.c
+++ b/src/core/burn_json.c
@@ -1,8 +1,8 @@
-/* The report on service-level burn as JSON. */
+/* The report on error budgets as JSON. */
 #include "core/burn_private.h"
 
 static json_t *
-top_to_json (const struct brn_top_cause *top)
+top_cause_to_json (const struct brn_top_cause *top)
 {
   return top->name[0] == '\0' ? json_null ()
                               : json_pack ("{s:s, s:f}", "name", top->name,
@@ -22,12 +22,13 @@
       line->short_burn, "long_burn", line->long_burn, "verdict",
       brn_verdict_name (line->verdict), "trend", "days", (int)line->trend.days,
       "change_weekly", line->trend.change_weekly, "standard_error",
-      line->trend.standard_error, "error", top_to_json (&line->error),
-      "endpoint", top_to_json (&line->endpoint), "data_centre",
-      top_to_json (&line->data_centre));
+      line->trend.standard_error, "error", top_cause_to_json (&line->error),
+      "endpoint", top_cause_to_json (&line->endpoint), "data_centre",
+      top_cause_to_json (&line->data_centre));
 }
 
-/* Returns REPORT as JSON, owned by the caller: docs/interfaces/report.md.  */
+/* Returns REPORT as JSON, owned by the caller.  docs/interfaces/report.md
+   describes its fields.  */
 json_t *
 brn_report_to_json (const struct brn_report *report)
 {
--- a/src/core/burn_observe.c
+++ b/src/core/burn_observe.c
@@ -1,12 +1,12 @@
-/* Counting of one daemon's own work. */
+/* Counts the requests of this daemon into its open record. */
 #include "core/burn_private.h"
 
 #define SECOND_US INT64_C (1000000)
-#define ENTRY_CAUSES_MAX 64
-#define LOG_FRACTION_BITS 10
+#define NAMED_CAUSES_MAX 64   /* in one entry, with an endpoint's name */
+#define LOG2_FRACTION_BITS 10 /* log_sum is in 1024ths */
 
-/* Errors that are the caller's own and burn no budget. */
-static const bool callers_own[ERR_KIND_COUNT] = {
+/* Errors that the caller is responsible for; these use no error budget. */
+static const bool is_caller_error[ERR_KIND_COUNT] = {
   [ERR_BAD_REQUEST] = true,  [ERR_UNAUTHORIZED] = true,
   [ERR_NOT_FOUND] = true,    [ERR_TOO_LARGE] = true,
   [ERR_RATE_LIMITED] = true, [ERR_KEY_CONFLICT] = true,
@@ -14,8 +14,8 @@
   [ERR_CALLER_GONE] = true,
 };
 
-/* Returns log2 of VALUE in 1024ths; of values below 1 it is 0.  Integers only,
-   so that every host computes the same.  */
+/* Returns log2 of VALUE in 1024ths, or 0 for values below 1.  Computed with
+   integers only, so that the result is the same on every host.  */
 static int64_t
 log2_fixed (int64_t value)
 {
@@ -28,7 +28,7 @@
                           ? (uint64_t)value >> (whole - 31)
                           : (uint64_t)value << (31 - whole); /* 1.0 is 2^31 */
   int64_t result = whole;
-  for (int i = 0; i < LOG_FRACTION_BITS; i++)
+  for (int i = 0; i < LOG2_FRACTION_BITS; i++)
     {
       mantissa = (mantissa * mantissa) >> 31;
       uint64_t bit = mantissa >> 32;
@@ -38,10 +38,11 @@
   return result;
 }
 
-/* Makes the open record one of the bucket of NOW_US.  A clock that goes back
-   stays in the bucket it was in.  */
+/* Ensures that a record of the bucket of NOW_US is open; one of an earlier
+   bucket is closed first.  When the clock goes backwards, counting continues
+   in the newest bucket.  */
 static void
-open_record (struct brn_state *state, int64_t now_us)
+ensure_open_record (struct brn_state *state, int64_t now_us)
 {
   uint32_t bucket = (uint32_t)(now_us / (BRN_BUCKET_S * SECOND_US));
   if (bucket > state->open_bucket)
@@ -60,7 +61,8 @@
     }
 }
 
-/* Returns the entry of KEY in the open record.  */
+/* Returns the entry of ACCOUNT and WORK in the open record, which is created
+   if it is missing.  */
 static struct brn_entry *
 get_open_entry (struct brn_state *state, const char *account,
                 enum brn_work work)
@@ -77,57 +79,58 @@
   return entry;
 }
 
-/* Adds CAUSE to those of ENTRY; when there are too many, without its names. */
+/* Adds CAUSE to those of ENTRY.  When there are too many already, a new one is
+   counted without the names of its endpoint and data centre.  */
 static void
-note_cause (struct brn_entry *entry, struct brn_cause cause)
+add_entry_cause (struct brn_entry *entry, struct brn_cause cause)
 {
   for (guint i = 0; i < entry->causes->len; i++)
     {
-      struct brn_cause *known
+      struct brn_cause *existing
           = &g_array_index (entry->causes, struct brn_cause, i);
-      if (brn_same_cause (known, &cause))
+      if (brn_same_cause (existing, &cause))
         {
-          known->count += cause.count;
+          existing->count += cause.count;
           return;
         }
     }
-  if (entry->causes->len >= ENTRY_CAUSES_MAX && cause.endpoint[0] != '\0')
+  if (entry->causes->len >= NAMED_CAUSES_MAX && cause.endpoint[0] != '\0')
     {
       cause.endpoint[0] = '\0';
       cause.data_centre[0] = '\0';
-      note_cause (entry, cause);
+      add_entry_cause (entry, cause);
       return;
     }
   g_array_append_val (entry->causes, cause);
 }
 
-/* Returns the time that OUTCOME has for OBJECTIVE and sets BOUND_US; below 0
-   when it has none.  */
+/* Returns the time of OUTCOME that OBJECTIVE is about, or a time below 0 when
+   there is none.  Sets LIMIT_US to the longest time that is good.  */
 static int64_t
-time_of (const struct brn_outcome *outcome, enum brn_objective objective,
-         int64_t *bound_us)
+get_time (const struct brn_outcome *outcome, enum brn_objective objective,
+          int64_t *limit_us)
 {
   switch (objective)
     {
     case BRN_FIRST_TOKEN:
-      *bound_us = outcome->objective->first_token_us;
+      *limit_us = outcome->objective->first_token_us;
       return outcome->first_token_us;
     case BRN_BETWEEN_TOKENS:
-      *bound_us = outcome->objective->between_tokens_us;
+      *limit_us = outcome->objective->between_tokens_us;
       return outcome->between_tokens_us;
     case BRN_SETTLED:
-      *bound_us = outcome->objective->settled_us;
+      *limit_us = outcome->objective->settled_us;
       return outcome->settled_us;
     default:
       return -1;
     }
 }
 
-/* Sets COUNT to what OUTCOME adds to OBJECTIVE.  Returns false when it adds
-   nothing.  */
+/* Sets COUNT to what OUTCOME adds to the counts of OBJECTIVE.  Returns false
+   when OUTCOME isn't counted for OBJECTIVE.  */
 static bool
-judge (const struct brn_outcome *outcome, enum brn_objective objective,
-       struct brn_count *count)
+count_outcome (const struct brn_outcome *outcome, enum brn_objective objective,
+               struct brn_count *count)
 {
   if (objective == BRN_AVAILABILITY)
     {
@@ -135,38 +138,39 @@
                                    .bad = outcome->error != ERR_NONE };
       return true;
     }
-  int64_t bound_us = 0;
-  int64_t time_us = time_of (outcome, objective, &bound_us);
+  int64_t limit_us = 0;
+  int64_t time_us = get_time (outcome, objective, &limit_us);
   if (time_us < 0)
     {
       return false;
     }
   *count = (struct brn_count){ .total = 1,
-                               .bad = time_us > bound_us,
+                               .bad = time_us > limit_us,
                                .log_sum = log2_fixed (time_us) };
   return true;
 }
 
-/* Counts how one request of this daemon ended.  Errors that are the caller's
-   own count as nothing.  NOW_US is the time since 1970.  */
+/* Counts one request of this daemon, which ended with OUTCOME.  A request that
+   failed by an error of the caller isn't counted.  NOW_US is the time since
+   1970.  */
 void
 brn_observe (struct brn_state *state, const struct brn_outcome *outcome,
              int64_t now_us)
 {
-  if (callers_own[outcome->error])
+  if (is_caller_error[outcome->error])
     {
       return;
     }
-  open_record (state, now_us);
+  ensure_open_record (state, now_us);
   struct brn_entry *entry
       = get_open_entry (state, outcome->account, outcome->work);
-  struct brn_entry *single
+  struct brn_entry *increment
       = brn_entry_create (outcome->account, outcome->work);
   for (int i = 0; i < BRN_OBJECTIVE_COUNT; i++)
     {
-      struct brn_count *count = &single->counts[i];
+      struct brn_count *count = &increment->counts[i];
       if (!brn_objective_applies (outcome->work, (enum brn_objective)i)
-          || !judge (outcome, (enum brn_objective)i, count))
+          || !count_outcome (outcome, (enum brn_objective)i, count))
         {
           continue;
         }
@@ -181,11 +185,11 @@
           g_strlcpy (cause.endpoint, outcome->endpoint, sizeof cause.endpoint);
           g_strlcpy (cause.data_centre, outcome->data_centre,
                      sizeof cause.data_centre);
-          note_cause (entry, cause);
-          note_cause (single, cause);
+          add_entry_cause (entry, cause);
+          add_entry_cause (increment, cause);
         }
     }
-  brn_add_entry (state, state->open_bucket, single);
-  g_array_free (single->causes, TRUE);
-  g_free (single);
+  brn_add_entry (state, state->open_bucket, increment);
+  g_array_free (increment->causes, TRUE);
+  g_free (increment);
 }
