--- a/src/core/burn_outbox.c
+++ b/src/core/burn_outbox.c
@@ -1,6 +1,7 @@
-/* The way of one daemon's records to the log.  One append is under way at a
-   time, oldest record first, and is repeated until the log confirms it:
-   readers know a repeat by incarnation, bucket and sequence. */
+/* Appends the records of this daemon to the log, oldest first.  One append is
+   in progress at a time, and it is retried until the log confirms it.  A retry
+   may append a record twice; readers recognise the duplicate by its
+   incarnation, bucket and sequence. */
 #include "core/burn_private.h"
 
 #define SECOND_US INT64_C (1000000)
@@ -8,22 +9,24 @@
 #define RETRY_MIN_US (1 * SECOND_US)
 #define RETRY_MAX_US (60 * SECOND_US)
 
-/* Records kept while the log is out: 12 hours, one for each bucket. */
-#define WAITING_MAX 144
+/* Records kept while the log is unavailable: one for each bucket of 12
+   hours. */
+#define CLOSED_RECORDS_MAX 144
 
-/* Drops the oldest record that is not under way when too many wait.  */
+/* Drops the oldest records when more than CLOSED_RECORDS_MAX are not confirmed
+   yet.  The one whose append is in progress is kept.  */
 static void
-bound_waiting (struct brn_state *state)
+drop_excess_records (struct brn_state *state)
 {
   guint first = state->append_token != 0 ? 1 : 0;
-  while (state->closed->len > WAITING_MAX)
+  while (state->closed->len > CLOSED_RECORDS_MAX)
     {
       g_ptr_array_remove_index (state->closed, first);
       state->dropped_records++;
     }
 }
 
-/* Closes the open record, so that it can be appended.  */
+/* Closes the open record, if there is one, so that it can be appended.  */
 void
 brn_close_record (struct brn_state *state)
 {
@@ -34,20 +37,23 @@
   g_hash_table_remove_all (state->open_entries);
   g_ptr_array_add (state->closed, g_steal_pointer (&state->open));
   state->next_sequence++;
-  bound_waiting (state);
+  drop_excess_records (state);
 }
 
-/* Closes the open record when its bucket is over or it is time to write.  The
-   last record that a bucket may have waits for the end of the bucket, and none
-   is closed early while others wait for the log.  */
+/* Closes the open record when its bucket has ended, or when a flush is due.
+   The last sequence of a bucket is not closed before the bucket has ended, and
+   no record is while others wait to be appended: so a bucket never needs more
+   than BRN_SEQUENCES_MAX records, and one record a bucket is kept while the
+   log is unavailable.  */
 static void
-close_due (struct brn_state *state, int64_t now_us, int64_t real_us,
-           bool flush)
+close_record_if_due (struct brn_state *state, int64_t now_us, int64_t real_us,
+                     bool flush)
 {
-  bool over = real_us / (BRN_BUCKET_S * SECOND_US) > state->open_bucket;
+  bool bucket_ended
+      = real_us / (BRN_BUCKET_S * SECOND_US) > state->open_bucket;
   bool due = flush || now_us >= state->next_flush_us;
-  bool last = state->next_sequence + 1 >= BRN_SEQUENCES_MAX;
-  if (over || (due && !last && state->closed->len == 0))
+  bool last_sequence = state->next_sequence + 1 >= BRN_SEQUENCES_MAX;
+  if (bucket_ended || (due && !last_sequence && state->closed->len == 0))
     {
       brn_close_record (state);
     }
@@ -57,15 +63,16 @@
     }
 }
 
-/* Adds the append of the oldest record to ACTIONS when one is due: each
-   minute, or at once when FLUSH, as before a planned stop.  NOW_US is
-   monotonic, REAL_US the time since 1970.  The result comes with
-   brn_append_result.  */
+/* Adds an append of the oldest closed record to ACTIONS, unless an append is
+   in progress or its retry is not due yet.  The open record is closed every
+   minute, or at once when FLUSH is true, as before a planned stop.  NOW_US is
+   monotonic, REAL_US is the time since 1970.  The caller reports the result of
+   the append with brn_append_result.  */
 void
 brn_tick (struct brn_state *state, int64_t now_us, int64_t real_us, bool flush,
           struct act_list *actions)
 {
-  close_due (state, now_us, real_us, flush);
+  close_record_if_due (state, now_us, real_us, flush);
   if (state->append_token != 0 || state->closed->len == 0
       || now_us < state->retry_at_us)
     {
@@ -81,8 +88,10 @@
   act_list_add (actions, &action);
 }
 
-/* Takes the RESULT of append TOKEN.  A record whose append failed, or may have
-   failed, is appended again after an exponential delay.  */
+/* Handles the RESULT of append TOKEN.  A record whose append failed, or may
+   have failed, is appended again after an exponential backoff of 1 to 60 s.
+   The result of any other append than the current one is ignored.  NOW_US is
+   monotonic.  */
 void
 brn_append_result (struct brn_state *state, uint64_t token,
                    enum err_kind result, int64_t now_us)
--- a/src/core/burn_record.c
+++ b/src/core/burn_record.c
@@ -1,15 +1,18 @@
-/* Records of service-level burn: building, packing, unpacking. */
+/* Builds records of the error budgets, and encodes and decodes them as
+   protobuf messages. */
 #include "core/burn_private.h"
 
 #include "burn.pb-c.h"
 
 #include <string.h>
 
-#define FORMAT 1
+#define FORMAT_VERSION 1
+
+/* Limits on records that are read. */
 #define ENTRIES_MAX 65536
 #define NAMES_MAX 65536
-#define TOTAL_MAX 100000000     /* requests in one bucket */
-#define LOG_MAX INT64_C (65536) /* of one time */
+#define TOTAL_MAX 100000000           /* requests in one bucket */
+#define LOG2_TIME_MAX INT64_C (65536) /* log2 of one time, in 1024ths */
 
 static void
 destroy_entry (gpointer data)
@@ -19,7 +22,8 @@
   g_free (entry);
 }
 
-/* Returns a new record without entries.  */
+/* Returns a new record without entries.  The caller frees it with
+   brn_record_destroy.  */
 struct brn_record *
 brn_record_create (uint64_t incarnation, uint32_t bucket, uint32_t sequence)
 {
@@ -51,14 +55,14 @@
   brn_record_destroy (data);
 }
 
-/* Returns a new array of records, which frees them with itself.  */
+/* Returns a new array of struct brn_record, which frees its elements.  */
 GPtrArray *
 brn_records_create (void)
 {
   return g_ptr_array_new_with_free_func (destroy_record);
 }
 
-/* Returns a new entry with counts of zero.  */
+/* Returns a new entry of ACCOUNT and WORK, with counts of zero.  */
 struct brn_entry *
 brn_entry_create (const char *account, enum brn_work work)
 {
@@ -69,52 +73,54 @@
   return entry;
 }
 
-/* A record being packed: names that it uses, each once. */
-struct packing
+/* The distinct names of a record that is being packed. */
+struct name_table
 {
-  GPtrArray *names;   /* not owned */
-  GHashTable *places; /* name to place in names */
+  GPtrArray *names;    /* not owned; the first is empty */
+  GHashTable *indices; /* name to index in `names' */
 };
 
+/* Returns the index of NAME in TABLE, to which it is added if it is missing.
+   The index of an empty name is 0.  */
 static uint32_t
-place_of (struct packing *packing, const char *name)
+get_name_index (struct name_table *table, const char *name)
 {
   if (name[0] == '\0')
     {
       return 0;
     }
-  gpointer place = g_hash_table_lookup (packing->places, name);
-  if (place == NULL)
+  gpointer index = g_hash_table_lookup (table->indices, name);
+  if (index == NULL)
     {
-      place = GUINT_TO_POINTER (packing->names->len);
-      g_ptr_array_add (packing->names, (gpointer)name);
-      g_hash_table_insert (packing->places, (gpointer)name, place);
+      index = GUINT_TO_POINTER (table->names->len);
+      g_ptr_array_add (table->names, (gpointer)name);
+      g_hash_table_insert (table->indices, (gpointer)name, index);
     }
-  return GPOINTER_TO_UINT (place);
+  return GPOINTER_TO_UINT (index);
 }
 
 static Burn__Cause *
-pack_cause (struct packing *packing, const struct brn_cause *cause)
+pack_cause (struct name_table *table, const struct brn_cause *cause)
 {
   Burn__Cause *packed = g_new (Burn__Cause, 1);
   burn__cause__init (packed);
   packed->objective = cause->objective;
   if (cause->error != ERR_NONE)
     {
-      packed->error = place_of (packing, err_answer (cause->error)->name);
+      packed->error = get_name_index (table, err_answer (cause->error)->name);
     }
-  packed->endpoint = place_of (packing, cause->endpoint);
-  packed->data_centre = place_of (packing, cause->data_centre);
+  packed->endpoint = get_name_index (table, cause->endpoint);
+  packed->data_centre = get_name_index (table, cause->data_centre);
   packed->count = cause->count;
   return packed;
 }
 
 static Burn__Entry *
-pack_entry (struct packing *packing, const struct brn_entry *entry)
+pack_entry (struct name_table *table, const struct brn_entry *entry)
 {
   Burn__Entry *packed = g_new (Burn__Entry, 1);
   burn__entry__init (packed);
-  packed->account = place_of (packing, entry->key.account);
+  packed->account = get_name_index (table, entry->key.account);
   packed->work = entry->key.work;
   packed->total = g_new (uint32_t, BRN_OBJECTIVE_COUNT);
   packed->bad = g_new (uint32_t, BRN_OBJECTIVE_COUNT);
@@ -133,7 +139,7 @@
   for (guint i = 0; i < entry->causes->len; i++)
     {
       packed->causes[i] = pack_cause (
-          packing, &g_array_index (entry->causes, struct brn_cause, i));
+          table, &g_array_index (entry->causes, struct brn_cause, i));
     }
   return packed;
 }
@@ -152,18 +158,18 @@
   g_free (packed);
 }
 
-/* Returns RECORD as bytes for the log and for peers.  Each name is written
-   once.  */
+/* Returns RECORD encoded for the log, from which the other daemons read it.
+   Each name is written once.  The caller owns the result.  */
 GBytes *
 brn_pack (const struct brn_record *record)
 {
-  struct packing packing = {
+  struct name_table table = {
     .names = g_ptr_array_new (),
-    .places = g_hash_table_new (g_str_hash, g_str_equal),
+    .indices = g_hash_table_new (g_str_hash, g_str_equal),
   };
-  g_ptr_array_add (packing.names, (gpointer) "");
+  g_ptr_array_add (table.names, (gpointer) "");
   Burn__Record packed = BURN__RECORD__INIT;
-  packed.format = FORMAT;
+  packed.format = FORMAT_VERSION;
   packed.incarnation = record->incarnation;
   packed.bucket = record->bucket;
   packed.sequence = record->sequence;
@@ -172,10 +178,10 @@
   for (guint i = 0; i < record->entries->len; i++)
     {
       packed.entries[i]
-          = pack_entry (&packing, g_ptr_array_index (record->entries, i));
+          = pack_entry (&table, g_ptr_array_index (record->entries, i));
     }
-  packed.n_names = packing.names->len;
-  packed.names = (char **)packing.names->pdata;
+  packed.n_names = table.names->len;
+  packed.names = (char **)table.names->pdata;
   size_t size = burn__record__get_packed_size (&packed);
   uint8_t *bytes = g_malloc (size);
   burn__record__pack (&packed, bytes);
@@ -184,25 +190,25 @@
       free_packed_entry (packed.entries[i]);
     }
   g_free (packed.entries);
-  g_ptr_array_free (packing.names, TRUE);
-  g_hash_table_destroy (packing.places);
+  g_ptr_array_free (table.names, TRUE);
+  g_hash_table_destroy (table.indices);
   return g_bytes_new_take (bytes, size);
 }
 
-/* Copies name PLACE of PACKED to NAME.  Returns false when there is none or it
-   is too long.  */
+/* Copies the name at INDEX in PACKED to NAME, of CFG_NAME_BYTES.  Returns
+   false when there is none or it is too long.  */
 static bool
-copy_name (const Burn__Record *packed, uint32_t place, char *name)
+copy_name (const Burn__Record *packed, uint32_t index, char *name)
 {
-  return place < packed->n_names
-         && g_strlcpy (name, packed->names[place], CFG_NAME_BYTES)
+  return index < packed->n_names
+         && g_strlcpy (name, packed->names[index], CFG_NAME_BYTES)
                 < CFG_NAME_BYTES;
 }
 
-/* Returns the kind of error called NAME; ERR_INTERNAL for one that a later
-   version knows.  */
+/* Returns the kind of error called NAME, or ERR_INTERNAL when this version
+   does not know it, as for a kind that a later version added.  */
 static enum err_kind
-find_error (const char *name)
+find_error_kind (const char *name)
 {
   for (int i = 0; i < ERR_KIND_COUNT; i++)
     {
@@ -227,13 +233,14 @@
       return false;
     }
   cause->objective = (enum brn_objective)from->objective;
-  cause->error = from->error == 0 ? ERR_NONE : find_error (error);
+  cause->error = from->error == 0 ? ERR_NONE : find_error_kind (error);
   cause->count = from->count;
   return true;
 }
 
-/* Fills the counts of ENTRY.  Returns false when they do not fit its kind of
-   work.  */
+/* Fills the counts of ENTRY, which are present only for the objectives that
+   apply to its kind of work.  Returns false when one is missing or out of
+   range.  */
 static bool
 unpack_counts (const Burn__Entry *from, struct brn_entry *entry)
 {
@@ -247,7 +254,7 @@
       if (next >= from->n_total || next >= from->n_bad
           || next >= from->n_log_sum || from->total[next] > TOTAL_MAX
           || from->bad[next] > from->total[next] || from->log_sum[next] < 0
-          || from->log_sum[next] > from->total[next] * LOG_MAX)
+          || from->log_sum[next] > from->total[next] * LOG2_TIME_MAX)
         {
           return false;
         }
@@ -286,7 +293,8 @@
   return unpack_counts (from, entry);
 }
 
-/* Reads a record from BYTES.  Returns NULL when it is malformed or of another
+/* Decodes a record from BYTES.  Returns a record that the caller frees with
+   brn_record_destroy, or NULL when BYTES are malformed or of another
    format.  */
 struct brn_record *
 brn_unpack (GBytes *bytes)
@@ -298,7 +306,8 @@
     {
       return NULL;
     }
-  bool valid = packed->format == FORMAT && packed->sequence < BRN_SEQUENCES_MAX
+  bool valid = packed->format == FORMAT_VERSION
+               && packed->sequence < BRN_SEQUENCES_MAX
                && packed->n_entries <= ENTRIES_MAX
                && packed->n_names <= NAMES_MAX;
   struct brn_record *record = brn_record_create (
