--- a/src/core/burn_report.c
+++ b/src/core/burn_report.c
@@ -1,23 +1,27 @@
-/* The report on service-level burn. */
+/* The report on error budgets: burn rates, top causes and verdicts. */
 #include "core/burn_private.h"
 
 #include <string.h>
 
 #define SECOND_US INT64_C (1000000)
 
-/* Bounds on times hold for this fraction of the work. */
+/* Fraction of requests that have to keep the limit of an objective on times.
+   The limit itself comes from the configuration. */
 #define TIME_TARGET 0.95
 
-/* Budget of 28 days gone in two days, seen over both windows. */
-#define BURN_MAX 14.0
+/* A short-window burn rate of this much is BRN_BURNING when that of the long
+   window is at least half of it.  At 14 the budget of 28 days is spent in two
+   days. */
+#define BURN_RATE_MAX 14.0
 
-/* A slide shows when the change is at least so many errors... */
-#define SLIDE_ERRORS 3.0
+/* A weekly change is BRN_SLIDING when it is at least this many of its standard
+   errors, so that noise is not taken for a trend... */
+#define SLIDING_STANDARD_ERRORS_MIN 3.0
 
-/* ...and of consequence: times longer by 1 % a week, or a tenth of the budget
-   for availability. */
-#define SLIDE_RELATIVE_MIN 0.01
-#define SLIDE_BUDGET_MIN 0.1
+/* ...and large enough to matter: for times 1 % a week, for availability a
+   tenth of the error budget a week. */
+#define SLIDING_RELATIVE_MIN 0.01
+#define SLIDING_BUDGET_MIN 0.1
 
 static const char *const work_names[BRN_WORK_COUNT] = {
   [BRN_DRAFT] = "draft",
@@ -39,28 +43,32 @@
   [BRN_EXHAUSTED] = "exhausted",
 };
 
+/* Returns the name of WORK in the report.  */
 const char *
 brn_work_name (enum brn_work work)
 {
   return work_names[work];
 }
 
+/* Returns the name of OBJECTIVE in the report.  */
 const char *
 brn_objective_name (enum brn_objective objective)
 {
   return objective_names[objective];
 }
 
+/* Returns the name of VERDICT in the report.  */
 const char *
 brn_verdict_name (enum brn_verdict verdict)
 {
   return verdict_names[verdict];
 }
 
-/* Adds the cells of the COUNT periods up to LAST to SUM.  */
+/* Sets TOTAL and BAD to the sums over the COUNT periods that end with LAST,
+   from SLOT of the counts in RING of LENGTH periods.  */
 static void
 sum_ring (const struct brn_period_counts *ring, uint32_t length, uint32_t last,
-          uint32_t count, uint32_t place, uint64_t *total, uint64_t *bad)
+          uint32_t count, uint32_t slot, uint64_t *total, uint64_t *bad)
 {
   *total = 0;
   *bad = 0;
@@ -68,55 +76,58 @@
     {
       if (ring[i].period <= last && ring[i].period + count > last)
         {
-          *total += ring[i].counts[place].total;
-          *bad += ring[i].counts[place].bad;
+          *total += ring[i].counts[slot].total;
+          *bad += ring[i].counts[slot].bad;
         }
     }
 }
 
-/* Returns how many times faster than TARGET allows BAD of TOTAL burn.  */
+/* Returns the burn rate: the fraction of bad requests, as a multiple of the
+   fraction that TARGET allows.  */
 static double
 burn_rate (uint64_t total, uint64_t bad, double target)
 {
   return total == 0 ? 0 : (double)bad / (double)total / (1 - target);
 }
 
-/* Which member of a cause is asked for. */
-typedef const char *(*cause_name) (const struct brn_cause *cause);
+/* Returns one name out of a cause: of its error, endpoint or data centre. */
+typedef const char *(*cause_name_getter) (const struct brn_cause *cause);
 
 static const char *
-error_of (const struct brn_cause *cause)
+get_error_name (const struct brn_cause *cause)
 {
   return cause->error == ERR_NONE ? "late" : err_answer (cause->error)->name;
 }
 
 static const char *
-endpoint_of (const struct brn_cause *cause)
+get_endpoint_name (const struct brn_cause *cause)
 {
   return cause->endpoint;
 }
 
 static const char *
-data_centre_of (const struct brn_cause *cause)
+get_data_centre_name (const struct brn_cause *cause)
 {
   return cause->data_centre;
 }
 
-/* Returns the name that most of the bad work of OBJECTIVE has; of equal ones
-   the first in the alphabet, so that all hosts agree.  */
+/* Returns the name, as GET_NAME takes it from the causes, that is most
+   frequent among the BAD requests of OBJECTIVE in the budget window up to
+   TODAY.  Of equally frequent names the first in byte order is returned, so
+   that all hosts report the same.  */
 static struct brn_top_cause
-find_top (const struct brn_series *series, enum brn_objective objective,
-          uint64_t bad, uint32_t today, cause_name name_of)
+find_top_cause (const struct brn_series *series, enum brn_objective objective,
+                uint64_t bad, uint32_t today, cause_name_getter get_name)
 {
   GHashTable *counts = g_hash_table_new (g_str_hash, g_str_equal);
   GHashTableIter iterator;
   const struct brn_day_cause *cause = NULL;
   struct brn_top_cause top = { 0 };
-  gsize most = 0;
+  gsize max_count = 0;
   g_hash_table_iter_init (&iterator, series->causes);
   while (g_hash_table_iter_next (&iterator, (gpointer *)&cause, NULL))
     {
-      const char *name = name_of (&cause->cause);
+      const char *name = get_name (&cause->cause);
       if (cause->cause.objective != objective || name[0] == '\0'
           || cause->day + BRN_BUDGET_WINDOW_DAYS <= today
           || cause->day > today)
@@ -132,50 +143,54 @@
   g_hash_table_iter_init (&iterator, counts);
   while (g_hash_table_iter_next (&iterator, &name, &count))
     {
-      gsize number = GPOINTER_TO_SIZE (count);
-      if (number > most || (number == most && strcmp (name, top.name) < 0))
+      gsize name_count = GPOINTER_TO_SIZE (count);
+      if (name_count > max_count
+          || (name_count == max_count && strcmp (name, top.name) < 0))
         {
-          most = number;
+          max_count = name_count;
           g_strlcpy (top.name, name, sizeof top.name);
         }
     }
   g_hash_table_destroy (counts);
-  top.share = bad == 0 ? 0 : (double)most / (double)bad;
+  top.share = bad == 0 ? 0 : (double)max_count / (double)bad;
   return top;
 }
 
-/* Returns true when the trend of LINE is a slide.  */
+/* Returns true when the trend of LINE shows a significant degradation.  */
 static bool
 is_sliding (const struct brn_report_line *line)
 {
   const struct brn_trend *trend = &line->trend;
-  double least = line->objective == BRN_AVAILABILITY
-                     ? SLIDE_BUDGET_MIN * (1 - line->target)
-                     : SLIDE_RELATIVE_MIN;
-  return trend->days > 0 && trend->change_weekly >= least
-         && trend->change_weekly >= SLIDE_ERRORS * trend->standard_error;
+  double change_min = line->objective == BRN_AVAILABILITY
+                          ? SLIDING_BUDGET_MIN * (1 - line->target)
+                          : SLIDING_RELATIVE_MIN;
+  return trend->days > 0 && trend->change_weekly >= change_min
+         && trend->change_weekly
+                >= SLIDING_STANDARD_ERRORS_MIN * trend->standard_error;
 }
 
 static enum brn_verdict
-judge_line (const struct brn_report_line *line)
+get_verdict (const struct brn_report_line *line)
 {
   if (line->budget_left <= 0)
     {
       return BRN_EXHAUSTED;
     }
-  if (line->short_burn >= BURN_MAX && line->long_burn >= BURN_MAX / 2)
+  if (line->short_burn >= BURN_RATE_MAX
+      && line->long_burn >= BURN_RATE_MAX / 2)
     {
       return BRN_BURNING;
     }
   return is_sliding (line) ? BRN_SLIDING : BRN_FINE;
 }
 
-/* Returns the line of one OBJECTIVE of SERIES at NOW_S.  */
+/* Returns the line of one OBJECTIVE of SERIES.  TARGET is the fraction of
+   requests that have to be good, NOW_S the time since 1970.  */
 static struct brn_report_line
-make_line (const struct brn_series *series, enum brn_objective objective,
-           double target, uint32_t now_s)
+build_line (const struct brn_series *series, enum brn_objective objective,
+            double target, uint32_t now_s)
 {
-  uint32_t place = brn_count_slot (objective);
+  uint32_t slot = brn_count_slot (objective);
   uint32_t today = now_s / BRN_DAY_S;
   uint64_t total = 0;
   uint64_t bad = 0;
@@ -186,20 +201,22 @@
   };
   g_strlcpy (line.account, series->key.account, sizeof line.account);
   sum_ring (series->buckets, BRN_BUCKET_RING_LENGTH, now_s / BRN_BUCKET_S,
-            BRN_SHORT_WINDOW_BUCKETS, place, &total, &bad);
+            BRN_SHORT_WINDOW_BUCKETS, slot, &total, &bad);
   line.short_burn = burn_rate (total, bad, target);
   sum_ring (series->hours, BRN_HOUR_RING_LENGTH, now_s / BRN_HOUR_S,
-            BRN_LONG_WINDOW_HOURS, place, &total, &bad);
+            BRN_LONG_WINDOW_HOURS, slot, &total, &bad);
   line.long_burn = burn_rate (total, bad, target);
   sum_ring (series->days, BRN_DAY_RING_LENGTH, today, BRN_BUDGET_WINDOW_DAYS,
-            place, &line.total, &line.bad);
+            slot, &line.total, &line.bad);
   line.budget_left = 1 - burn_rate (line.total, line.bad, target);
   line.trend = brn_fit_trend (series, objective, today);
-  line.error = find_top (series, objective, line.bad, today, error_of);
-  line.endpoint = find_top (series, objective, line.bad, today, endpoint_of);
-  line.data_centre
-      = find_top (series, objective, line.bad, today, data_centre_of);
-  line.verdict = judge_line (&line);
+  line.error
+      = find_top_cause (series, objective, line.bad, today, get_error_name);
+  line.endpoint
+      = find_top_cause (series, objective, line.bad, today, get_endpoint_name);
+  line.data_centre = find_top_cause (series, objective, line.bad, today,
+                                     get_data_centre_name);
+  line.verdict = get_verdict (&line);
   return line;
 }
 
@@ -212,7 +229,8 @@
   return order != 0 ? order : (int)left->work - (int)right->work;
 }
 
-/* Adds the lines of SERIES that have an objective and any work.  */
+/* Adds a line to LINES for each objective of SERIES with requests in the
+   budget window.  */
 static void
 add_lines (const struct brn_series *series, const struct cfg_account *account,
            uint32_t now_s, GArray *lines)
@@ -228,7 +246,7 @@
                           ? account->objective.availability
                           : TIME_TARGET;
       struct brn_report_line line
-          = make_line (series, objective, target, now_s);
+          = build_line (series, objective, target, now_s);
       if (line.total > 0)
         {
           g_array_append_val (lines, line);
@@ -236,10 +254,11 @@
     }
 }
 
-/* Reports on the accounts of CONFIG at NOW_US, since 1970: what is left of the
-   budget of 28 days, burn over the last hour and the last 24 hours, what burnt
-   it, and the trend over 35 days.  The caller frees the result with
-   brn_report_destroy.  */
+/* Reports on the accounts of CONFIG at NOW_US, the time since 1970: what is
+   left of the error budget of 28 days, the burn rates over the last hour and
+   the last 24 hours, the most frequent causes of bad requests, and the trend
+   over 35 days.  Accounts that are not in CONFIG are left out.  The caller
+   frees the result with brn_report_destroy.  */
 struct brn_report *
 brn_report (const struct brn_state *state, const struct cfg_config *config,
             int64_t now_us)
@@ -257,9 +276,9 @@
   };
   GList *all
       = g_list_sort (g_hash_table_get_keys (state->series), compare_series);
-  for (const GList *at = all; at != NULL; at = at->next)
+  for (const GList *item = all; item != NULL; item = item->next)
     {
-      const struct brn_series *series = at->data;
+      const struct brn_series *series = item->data;
       const struct cfg_account *account
           = cfg_find_account (config, series->key.account);
       if (account != NULL)
--- a/src/core/burn_trend.c
+++ b/src/core/burn_trend.c
@@ -1,16 +1,17 @@
-/* The trend of one objective over days: a slow slide shows as a slope that is
-   larger than its error. */
+/* The trend of one objective over days.  A slow degradation shows as a slope
+   that is larger than its standard error, while every request may still meet
+   the objective. */
 #include "core/burn_private.h"
 
 #include <math.h>
 
-#define DAYS_MIN 8
-#define DAYS_FOR_WEEKDAYS 21
-#define DAY_TOTAL_MIN 5
+#define DAYS_MIN 8               /* fewer give no trend */
+#define WEEKDAYS_FIT_DAYS_MIN 21 /* weekdays are fitted from here on */
+#define DAY_REQUESTS_MIN 5       /* days with fewer are left out */
 #define WEEK_DAYS 7
-#define LOG_UNITS 1024.0
+#define LOG2_UNITS 1024.0 /* log_sum is in 1024ths */
 
-/* The value of one day. */
+/* The value of one day, for the fit. */
 struct point
 {
   double day;
@@ -18,27 +19,29 @@
   uint32_t weekday;
 };
 
-/* Sets POINT to the value of CELL: the mean of log2 of the time, or the
-   fraction of bad work.  Returns false when there was too little work.  */
+/* Sets POINT to the value of DAY: for availability the fraction of bad
+   requests, else the mean of log2 of the time.  Returns false when there were
+   too few requests.  */
 static bool
-read_point (const struct brn_period_counts *cell, enum brn_objective objective,
+read_point (const struct brn_period_counts *day, enum brn_objective objective,
             struct point *point)
 {
-  const struct brn_count *count = &cell->counts[brn_count_slot (objective)];
-  if (count->total < DAY_TOTAL_MIN)
+  const struct brn_count *count = &day->counts[brn_count_slot (objective)];
+  if (count->total < DAY_REQUESTS_MIN)
     {
       return false;
     }
   double sum = objective == BRN_AVAILABILITY
                    ? (double)count->bad
-                   : (double)count->log_sum / LOG_UNITS;
-  *point = (struct point){ .day = cell->period,
+                   : (double)count->log_sum / LOG2_UNITS;
+  *point = (struct point){ .day = day->period,
                            .value = sum / count->total,
-                           .weekday = cell->period % WEEK_DAYS };
+                           .weekday = day->period % WEEK_DAYS };
   return true;
 }
 
-/* Fills POINTS with the days before TODAY.  Returns how many there are.  */
+/* Fills POINTS with the days of the trend window before TODAY, which is left
+   out as it is incomplete.  Returns how many points there are.  */
 static uint32_t
 read_points (const struct brn_series *series, enum brn_objective objective,
              uint32_t today, struct point *points)
@@ -46,9 +49,9 @@
   uint32_t count = 0;
   for (int i = 0; i < BRN_DAY_RING_LENGTH; i++)
     {
-      const struct brn_period_counts *cell = &series->days[i];
-      if (cell->period < today && cell->period + BRN_TREND_WINDOW_DAYS >= today
-          && read_point (cell, objective, &points[count]))
+      const struct brn_period_counts *day = &series->days[i];
+      if (day->period < today && day->period + BRN_TREND_WINDOW_DAYS >= today
+          && read_point (day, objective, &points[count]))
         {
           count++;
         }
@@ -56,9 +59,10 @@
   return count;
 }
 
-/* Takes the mean of each group off the points of it: of each weekday, so that
-   the pattern of a week does not pass for a trend, or of all.  Returns the
-   number of groups.  */
+/* Subtracts from each point the mean of its group.  With seven GROUPS the
+   points are grouped by weekday, so that a weekly pattern is not taken for a
+   trend; with one, all points are one group.  Returns the number of groups
+   that have points.  */
 static uint32_t
 subtract_means (struct point *points, uint32_t count, uint32_t groups)
 {
@@ -90,10 +94,11 @@
   return used;
 }
 
-/* Fits a line through the values of the days before TODAY by least squares.
-   The change for each week is relative for times (0.02: 2 % longer) and
-   absolute for the fraction of bad work.  With three weeks of days the means
-   of the weekdays are fitted as well.  `days' is 0 when there are too few.  */
+/* Fits a line through the values of the days before TODAY by least squares,
+   and returns the change a week.  The change is relative for times (0.02: 2 %
+   longer) and absolute for the fraction of bad requests.  With 21 days or more
+   the means of the weekdays are fitted as well.  `days' is 0 when there are
+   too few days.  */
 struct brn_trend
 brn_fit_trend (const struct brn_series *series, enum brn_objective objective,
                uint32_t today)
@@ -105,7 +110,7 @@
       return (struct brn_trend){ 0 };
     }
   uint32_t groups = subtract_means (
-      points, count, count >= DAYS_FOR_WEEKDAYS ? WEEK_DAYS : 1);
+      points, count, count >= WEEKDAYS_FIT_DAYS_MIN ? WEEK_DAYS : 1);
   double xx = 0;
   double xy = 0;
   double yy = 0;
