--- a/src/operator/operator.c
+++ b/src/operator/operator.c
@@ -7,10 +7,11 @@
 #include <civetweb.h>
 #include <string.h>
 
-#define BODY_BYTES_MAX ((size_t)4 * 1024 * 1024)
-#define THREADS "6"
+#define REQUEST_BODY_BYTES_MAX ((size_t)4 * 1024 * 1024)
+#define THREADS "6" /* of the HTTP server */
 
-/* Scripts and styles stand in the page; it calls this address only. */
+/* The page holds its scripts and styles itself, and may call only the server
+   that it came from. */
 #define PAGE_HEADERS                                                          \
   "Content-Security-Policy: default-src 'self' 'unsafe-inline'\r\n"           \
   "X-Frame-Options: DENY\r\nCache-Control: no-store\r\n"
@@ -23,8 +24,8 @@
   char token_sha256[65];
 };
 
-/* One call of the API.  Returns the body of the answer, or NULL with FAILURE
-   set. */
+/* Handles one request of the API.  Returns the body of the response, owned by
+   the caller, or NULL with FAILURE set. */
 typedef json_t *(*route_handler) (struct opr_server *server,
                                   struct mg_connection *connection,
                                   struct err_failure *failure);
@@ -56,6 +57,7 @@
   return server->params.backend->config_history (server->params.user_data);
 }
 
+/* Returns the response to a request that changed the configuration.  */
 static json_t *
 version_to_json (uint64_t version)
 {
@@ -66,7 +68,7 @@
 post_config (struct opr_server *server, struct mg_connection *connection,
              struct err_failure *failure)
 {
-  GString *body = http_read_body (connection, BODY_BYTES_MAX, failure);
+  GString *body = http_read_body (connection, REQUEST_BODY_BYTES_MAX, failure);
   if (body == NULL)
     {
       return NULL;
@@ -84,11 +86,12 @@
   return accepted ? version_to_json (version) : NULL;
 }
 
-/* Reads the body as a JSON object, owned by the caller.  */
+/* Returns the body of the request as a JSON object, owned by the caller, or
+   NULL with FAILURE set.  */
 static json_t *
 read_json (struct mg_connection *connection, struct err_failure *failure)
 {
-  GString *body = http_read_body (connection, BODY_BYTES_MAX, failure);
+  GString *body = http_read_body (connection, REQUEST_BODY_BYTES_MAX, failure);
   if (body == NULL)
     {
       return NULL;
@@ -119,7 +122,8 @@
   bool accepted = false;
   if (host == NULL)
     {
-      err_fail (failure, ERR_BAD_REQUEST, "host: a name of a host is needed");
+      err_fail (failure, ERR_BAD_REQUEST,
+                "host: the name of a host is required");
     }
   else
     {
@@ -131,8 +135,8 @@
 }
 
 static json_t *
-get_keys (struct opr_server *server, struct mg_connection *connection,
-          struct err_failure *failure)
+get_unknown_keys (struct opr_server *server, struct mg_connection *connection,
+                  struct err_failure *failure)
 {
   (void)connection;
   (void)failure;
@@ -140,8 +144,8 @@
 }
 
 static json_t *
-post_settle (struct opr_server *server, struct mg_connection *connection,
-             struct err_failure *failure)
+post_settle_key (struct opr_server *server, struct mg_connection *connection,
+                 struct err_failure *failure)
 {
   json_t *body = read_json (connection, failure);
   if (body == NULL)
@@ -149,29 +153,29 @@
       return NULL;
     }
   const json_t *ran = json_object_get (body, "ran");
-  const json_t *recorded = json_object_get (body, "answer");
-  char *text = recorded != NULL
-                   ? json_dumps (recorded, JSON_COMPACT | JSON_ENCODE_ANY)
-                   : NULL;
+  const json_t *answer = json_object_get (body, "answer");
+  char *answer_text = answer != NULL
+                          ? json_dumps (answer, JSON_COMPACT | JSON_ENCODE_ANY)
+                          : NULL;
   struct opr_settle settle = {
     .account = json_string_value (json_object_get (body, "account")),
     .key = json_string_value (json_object_get (body, "key")),
     .ran = json_is_true (ran),
     .status = 200,
-    .body = text,
+    .body = answer_text,
   };
   bool accepted = false;
   if (settle.account == NULL || settle.key == NULL || !json_is_boolean (ran))
     {
       err_fail (failure, ERR_BAD_REQUEST,
-                "account, key and ran (true or false) are needed");
+                "account, key and ran (true or false) are required");
     }
   else
     {
       accepted = server->params.backend->settle_key (server->params.user_data,
                                                      &settle, failure);
     }
-  free (text);
+  free (answer_text);
   json_decref (body);
   return accepted ? json_object () : NULL;
 }
@@ -196,8 +200,8 @@
   { "GET", "/v1/config/history", get_history },
   { "POST", "/v1/config", post_config },
   { "POST", "/v1/drain", post_drain },
-  { "GET", "/v1/keys/unknown", get_keys },
-  { "POST", "/v1/keys/settle", post_settle },
+  { "GET", "/v1/keys/unknown", get_unknown_keys },
+  { "POST", "/v1/keys/settle", post_settle_key },
   { "GET", "/v1/report", get_report },
 };
 
@@ -211,8 +215,8 @@
 }
 
 static void
-answer_route (struct opr_server *server, struct mg_connection *connection,
-              route_handler handle)
+run_route_handler (struct opr_server *server, struct mg_connection *connection,
+                   route_handler handle)
 {
   struct err_failure failure = { .kind = ERR_NONE };
   json_t *body = handle (server, connection, &failure);
@@ -225,6 +229,8 @@
   json_decref (body);
 }
 
+/* Answers a request of the API, which requires the operators' token on every
+   path.  Returns 1, which tells civetweb that the request is answered.  */
 static int
 handle_request (struct mg_connection *connection, void *user_data)
 {
@@ -242,7 +248,7 @@
       if (strcmp (routes[i].method, info->request_method) == 0
           && strcmp (routes[i].path, info->local_uri) == 0)
         {
-          answer_route (server, connection, routes[i].handle);
+          run_route_handler (server, connection, routes[i].handle);
           return 1;
         }
     }
@@ -251,7 +257,7 @@
   return 1;
 }
 
-/* /metrics needs no token: it holds counts only.  */
+/* Answers /metrics.  No token is required, as it holds counters only.  */
 static int
 handle_metrics (struct mg_connection *connection, void *user_data)
 {
@@ -264,9 +270,11 @@
   return 1;
 }
 
-/* The page needs no token: it holds no data and asks for one.  */
+/* Answers with the page that shows the report.  No token is required, as the
+   page itself holds no data: it asks for the token and calls the API with
+   it.  */
 static int
-handle_page (struct mg_connection *connection, void *user_data)
+handle_report_page (struct mg_connection *connection, void *user_data)
 {
   (void)user_data;
   http_send (connection, 200, "text/html; charset=utf-8", PAGE_HEADERS,
@@ -274,8 +282,10 @@
   return 1;
 }
 
-/* Starts the server.  Errors: ERR_SETTINGS when the address cannot be
-   listened on.  */
+/* Starts the server, which the caller stops with opr_server_destroy.  The
+   counters, the callbacks and the user data of PARAMS have to outlive it.
+   Returns NULL and sets ERROR to ERR_SETTINGS when the server cannot listen on
+   the address.  */
 struct opr_server *
 opr_server_create (const struct opr_params *params, GError **error)
 {
@@ -306,7 +316,8 @@
   mg_get_server_ports (server->context, 1, &port);
   server->port = (uint16_t)port.port;
   mg_set_request_handler (server->context, "/metrics", handle_metrics, server);
-  mg_set_request_handler (server->context, "/report$", handle_page, server);
+  mg_set_request_handler (server->context, "/report$", handle_report_page,
+                          server);
   mg_set_request_handler (server->context, "/", handle_request, server);
   return server;
 }
@@ -323,7 +334,7 @@
   g_free (server);
 }
 
-/* Returns the port that the server listens on.  */
+/* Returns the TCP port that the server listens on.  */
 uint16_t
 opr_server_port (const struct opr_server *server)
 {
--- a/src/operator/operator.h
+++ b/src/operator/operator.h
@@ -1,4 +1,6 @@
-/* Administration API over HTTP: docs/interfaces/operator.md. */
+/* HTTP server for operators: the administration API under /v1/, the page
+   /report and the counters at /metrics.  docs/interfaces/operator.md describes
+   the API. */
 #ifndef OPERATOR_OPERATOR_H
 #define OPERATOR_OPERATOR_H
 
@@ -10,24 +12,28 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/* A configuration to publish. */
 struct opr_publish
 {
   const char *yaml;
   size_t yaml_bytes;
-  const char *publisher;
+  const char *publisher; /* named by the client; "": none */
 };
 
+/* The decision of an operator on an idempotency key of which it is unknown
+   whether its call was executed. */
 struct opr_settle
 {
   const char *account;
   const char *key;
-  bool ran;
-  uint32_t status;  /* of the answer to record */
-  const char *body; /* NULL: none */
+  bool ran;         /* the call was executed */
+  uint32_t status;  /* HTTP status of the answer to record */
+  const char *body; /* JSON of the answer to record; NULL: none */
 };
 
-/* What the package needs from the daemon.  Each JSON is owned by the caller;
-   NULL means that FAILURE is set. */
+/* Callbacks into the daemon, called on threads of the server.  They return
+   JSON that the caller owns, or true for success.  A callback that returns
+   NULL or false sets FAILURE; those without FAILURE always return JSON. */
 struct opr_backend
 {
   json_t *(*status) (void *user_data);
@@ -45,8 +51,8 @@
 
 struct opr_params
 {
-  const char *address; /* IP:PORT */
-  const char *token;
+  const char *address; /* IP:PORT to listen on */
+  const char *token;   /* that clients of the API have to present */
   struct cnt_set *counters;
   const struct opr_backend *backend;
   void *user_data;
--- a/src/operator/report_page.c
+++ b/src/operator/report_page.c
@@ -1,7 +1,8 @@
 #include "operator/report_page.h"
 
-/* Asks for the operators' token, fetches /v1/report and draws it.  Served as
-   it stands; it holds no data.  */
+/* A page that asks for the operators' token, fetches /v1/report with it and
+   shows the lines of the report in a table.  It is served unchanged and holds
+   no data.  */
 const char opr_report_page[]
     = "<!DOCTYPE html>\n"
       "<html lang=\"en\">\n"
--- a/src/operator/report_page.h
+++ b/src/operator/report_page.h
@@ -1,4 +1,5 @@
-/* The page that draws the report on service-level burn. */
+/* The HTML page that shows the report on error budgets, with its styles and
+   scripts. */
 #ifndef OPERATOR_REPORT_PAGE_H
 #define OPERATOR_REPORT_PAGE_H
 
