--- a/src/core/burn_outbox.c
+++ b/src/core/burn_outbox.c
@@ -40,11 +40,11 @@
   drop_excess_records (state);
 }
 
-/* Closes the open record when its bucket has ended, or when a flush is due.
-   The last sequence of a bucket is not closed before the bucket has ended, and
-   no record is while others wait to be appended: so a bucket never needs more
-   than BRN_SEQUENCES_MAX records, and one record a bucket is kept while the
-   log is unavailable.  */
+/* Closes the open record when its bucket has ended, or earlier when a flush is
+   due.  The last sequence of a bucket is never closed early, so that a bucket
+   needs no more than BRN_SEQUENCES_MAX records.  No record is closed early
+   either while others wait to be appended, so that only one record a bucket is
+   kept while the log is unavailable.  */
 static void
 close_record_if_due (struct brn_state *state, int64_t now_us, int64_t real_us,
                      bool flush)
