--- a/test/burn_fixture.c
+++ b/test/burn_fixture.c
@@ -20,13 +20,16 @@
   .account_count = BFX_ACCOUNTS,
 };
 
+/* Returns an empty state of daemon INCARNATION with the default limits.  */
 struct brn_state *
 bfx_create (uint64_t incarnation)
 {
   return brn_create (&(struct brn_params){ .incarnation = incarnation });
 }
 
-/* A draft of ACCOUNT that went well unless ERROR says otherwise.  */
+/* Returns the outcome of a draft of ACCOUNT, an index in bfx_accounts.  With
+   ERR_NONE the draft meets every objective; with another ERROR it has no
+   times.  */
 struct brn_outcome
 bfx_draft_outcome (uint32_t account, enum err_kind error)
 {
@@ -43,6 +46,7 @@
   };
 }
 
+/* Counts OUTCOME in STATE as many TIMES.  */
 void
 bfx_observe (struct brn_state *state, struct brn_outcome outcome,
              int64_t now_us, uint32_t times)
@@ -53,8 +57,8 @@
     }
 }
 
-/* Copies the line of the report at NOW_US; its total is 0 when there is
-   none.  */
+/* Returns a copy of the line of ACCOUNT, WORK and OBJECTIVE in the report at
+   NOW_US.  Its total is 0 when there is no such line.  */
 struct brn_report_line
 bfx_find_line (const struct brn_state *state, const char *account,
                enum brn_work work, enum brn_objective objective,
@@ -82,8 +86,8 @@
   brn_record_destroy (data);
 }
 
-/* Returns the records (struct brn_record) that STATE appends to a log that
-   takes each of them.  */
+/* Flushes STATE to a log that confirms every append.  Returns the records
+   appended, an array of struct brn_record.  */
 GPtrArray *
 bfx_flush_records (struct brn_state *state, int64_t now_us)
 {
--- a/test/burn_fixture.h
+++ b/test/burn_fixture.h
@@ -1,4 +1,4 @@
-/* Accounts and outcomes that the tests of service-level burn share. */
+/* Accounts, outcomes and helpers shared by the tests of the error budgets. */
 #ifndef TEST_BURN_FIXTURE_H
 #define TEST_BURN_FIXTURE_H
 
@@ -8,8 +8,8 @@
 #define DAY_US (86400 * SECOND_US)
 #define HOUR_US (3600 * SECOND_US)
 #define BUCKET_US (BRN_BUCKET_S * SECOND_US)
-#define START_US (20000 * DAY_US)
-#define BFX_ACCOUNTS 2 /* trust, brightwell */
+#define START_US (20000 * DAY_US) /* since 1970; the start of a day */
+#define BFX_ACCOUNTS 2            /* trust, brightwell */
 
 extern struct cfg_account bfx_accounts[BFX_ACCOUNTS];
 extern const struct cfg_config bfx_config;
--- a/test/burn_outbox_test.c
+++ b/test/burn_outbox_test.c
@@ -1,3 +1,5 @@
+/* Tests of appending records to a log that fails: each request has to be
+   counted exactly once by the readers of the log. */
 #include "burn_fixture.h"
 
 #include <setjmp.h>
@@ -7,18 +9,18 @@
 #include <cmocka.h>
 
 #define TICK_US (10 * SECOND_US)
-#define WORK_US (30 * HOUR_US)
+#define RUN_US (30 * HOUR_US)
 #define NEVER INT64_MAX
 
-/* What the log does with appends between two times after the start. */
+/* How the log handles appends between two times after START_US. */
 struct fault_case
 {
   const char *name;
   int64_t from_us;
   int64_t to_us;
   enum err_kind result;
-  bool appended; /* the record is in all the same */
-  bool drops;    /* the outage is longer than records are kept */
+  bool appended; /* the record is stored in spite of the result */
+  bool drops;    /* records are dropped, as the outage is too long */
 };
 
 static const struct fault_case fault_cases[] = {
@@ -27,15 +29,15 @@
     false },
   { "refused for eleven hours", HOUR_US, 12 * HOUR_US, ERR_LOG_UNAVAILABLE,
     false, false },
-  { "answers lost, records in", HOUR_US, 9 * HOUR_US, ERR_APPEND_UNKNOWN, true,
-    false },
-  { "answers lost, records out", HOUR_US, 9 * HOUR_US, ERR_APPEND_UNKNOWN,
-    false, false },
+  { "answers lost, records stored", HOUR_US, 9 * HOUR_US, ERR_APPEND_UNKNOWN,
+    true, false },
+  { "answers lost, records not stored", HOUR_US, 9 * HOUR_US,
+    ERR_APPEND_UNKNOWN, false, false },
   { "refused for twenty hours", HOUR_US, 21 * HOUR_US, ERR_LOG_UNAVAILABLE,
     false, true },
 };
 
-/* A log with a fault, and a reader of it. */
+/* A log with a fault, and a daemon that reads its records. */
 struct fake_log
 {
   const struct fault_case *fault;
@@ -43,14 +45,14 @@
   uint32_t appends;
 };
 
-/* Appends as ACTION says, and tells the writer the result.  */
+/* Performs ACTION with the fault of LOG, and reports the result to WRITER.  */
 static void
 append (struct fake_log *log, struct brn_state *writer,
         const struct act_append *action, int64_t now_us)
 {
-  int64_t after_us = now_us - START_US;
+  int64_t elapsed_us = now_us - START_US;
   bool faulty
-      = after_us >= log->fault->from_us && after_us < log->fault->to_us;
+      = elapsed_us >= log->fault->from_us && elapsed_us < log->fault->to_us;
   log->appends++;
   if (!faulty || log->fault->appended)
     {
@@ -64,17 +66,17 @@
                      faulty ? log->fault->result : ERR_NONE, now_us);
 }
 
-/* Lets WRITER work for 30 hours, a draft in each tick, and then stop as
-   planned.  Returns how much it did.  */
+/* Runs WRITER for RUN_US with one draft in each tick, and flushes it at the
+   end as at a planned stop.  Returns the number of drafts.  */
 static uint32_t
-work (struct fake_log *log, struct brn_state *writer)
+run_writer (struct fake_log *log, struct brn_state *writer)
 {
   struct act_list *actions = act_list_create ();
   uint32_t observed = 0;
   int64_t now_us = START_US;
-  for (; now_us <= START_US + WORK_US; now_us += TICK_US)
+  for (; now_us <= START_US + RUN_US; now_us += TICK_US)
     {
-      bool last = now_us == START_US + WORK_US;
+      bool last = now_us == START_US + RUN_US;
       bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), now_us, 1);
       observed++;
       brn_tick (writer, now_us, now_us, last, actions);
@@ -91,10 +93,11 @@
   return observed;
 }
 
-/* Whatever the log does, each draft reaches a reader once; only an outage
-   longer than 12 hours costs the oldest records, and they are counted.  */
+/* A reader counts each draft once, whether appends fail or only their answers
+   are lost.  Records are dropped only in an outage of more than 12 hours, the
+   oldest first, and the writer counts how many.  */
 static void
-faults_of_the_log (void **state)
+counts_survive_log_faults (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (fault_cases); i++)
@@ -102,32 +105,33 @@
       const struct fault_case *c = &fault_cases[i];
       struct fake_log log = { .fault = c, .reader = bfx_create (1) };
       struct brn_state *writer = bfx_create (2);
-      uint32_t observed = work (&log, writer);
-      int64_t now_us = START_US + WORK_US;
+      uint32_t observed = run_writer (&log, writer);
+      int64_t now_us = START_US + RUN_US;
       struct brn_report_line line = bfx_find_line (
           log.reader, "trust", BRN_DRAFT, BRN_AVAILABILITY, now_us);
       struct brn_report *report = brn_report (writer, &bfx_config, now_us);
-      uint64_t per_record = BUCKET_US / TICK_US;
+      uint64_t drafts_per_record = BUCKET_US / TICK_US;
       uint64_t lost = observed - line.total;
-      uint64_t most = report->dropped_records * per_record;
-      /* the bucket in which the outage begins has two shorter records */
-      if (line.total > observed || lost > most || lost + 2 * per_record < most
-          || (lost > 0) != c->drops
+      uint64_t max_lost = report->dropped_records * drafts_per_record;
+      /* the bucket in which the outage begins has two records, each shorter */
+      if (line.total > observed || lost > max_lost
+          || lost + 2 * drafts_per_record < max_lost || (lost > 0) != c->drops
           || (report->dropped_records > 0) != c->drops)
         {
           fail_msg ("%s: %u observed, %u read, %u records dropped", c->name,
                     observed, (unsigned)line.total,
                     (unsigned)report->dropped_records);
         }
-      /* one a minute, and one for each record that waited */
-      assert_in_range (log.appends, 1, WORK_US / (60 * SECOND_US) + 200);
+      /* one append a minute, and one for each record kept in the outage */
+      assert_in_range (log.appends, 1, RUN_US / (60 * SECOND_US) + 200);
       brn_report_destroy (report);
       brn_destroy (writer);
       brn_destroy (log.reader);
     }
 }
 
-/* Only one append is under way, and results of others change nothing.  */
+/* Only one append is in progress at a time, and results with another token are
+   ignored.  */
 static void
 one_append_at_a_time (void **state)
 {
@@ -152,9 +156,10 @@
   brn_destroy (writer);
 }
 
-/* The record that is under way is not dropped while its append hangs.  */
+/* When too many records are kept, the one whose append is still in progress is
+   not among those dropped.  */
 static void
-a_hanging_append_keeps_its_record (void **state)
+a_pending_append_keeps_its_record (void **state)
 {
   (void)state;
   const uint32_t buckets = 200;
@@ -188,8 +193,8 @@
 
 struct retry_case
 {
-  uint32_t failures;
-  int64_t delay_us;
+  uint32_t failures; /* in succession */
+  int64_t delay_us;  /* expected after the last of them */
 };
 
 static const struct retry_case retry_cases[] = {
@@ -213,9 +218,10 @@
   return appends;
 }
 
-/* A failed append is repeated after an exponential delay.  */
+/* A failed append is retried after an exponentially growing delay, up to a
+   minute.  */
 static void
-delays_rise (void **state)
+retries_back_off (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (retry_cases); i++)
@@ -239,10 +245,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (faults_of_the_log),
+    cmocka_unit_test (counts_survive_log_faults),
     cmocka_unit_test (one_append_at_a_time),
-    cmocka_unit_test (a_hanging_append_keeps_its_record),
-    cmocka_unit_test (delays_rise),
+    cmocka_unit_test (a_pending_append_keeps_its_record),
+    cmocka_unit_test (retries_back_off),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/burn_report_test.c
+++ b/test/burn_report_test.c
@@ -1,3 +1,5 @@
+/* Tests of the report on error budgets: what counts as good or bad, and when
+   an objective is reported as sliding, burning or exhausted. */
 #include "burn_fixture.h"
 
 #include <setjmp.h>
@@ -18,7 +20,8 @@
   int64_t bad[BRN_OBJECTIVE_COUNT];
 };
 
-/* In order: availability, first token, between tokens, settled. */
+/* Totals and bad counts are in the order of enum brn_objective: availability,
+   first token, between tokens, settled. */
 static const struct outcome_case outcome_cases[] = {
   { BRN_DRAFT, ERR_NONE, 660000, 39000, -1, { 1, 1, 1, 0 }, { 0 } },
   { BRN_DRAFT, ERR_NONE, 660001, 39001, -1, { 1, 1, 1, 0 }, { 0, 1, 1, 0 } },
@@ -35,8 +38,10 @@
   { BRN_LOOKUP, ERR_ENDPOINT_SILENT, -1, -1, -1, { 1 }, { 1 } },
 };
 
+/* A time is bad when it exceeds the objective, and errors of the caller are
+   not counted.  */
 static void
-outcomes_are_judged (void **state)
+outcomes_are_counted (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (outcome_cases); i++)
@@ -64,16 +69,16 @@
     }
 }
 
-struct slide_case
+struct sliding_case
 {
   int days;
-  double weekly;  /* relative change of the first token's time */
-  double swing;   /* the last two days of a week are slower by so much */
-  uint32_t noise; /* in thousandths, even spread */
-  bool sliding;
+  double weekly;  /* relative change a week of the time to the first token */
+  double swing;   /* relative increase on the last two days of each week */
+  uint32_t noise; /* amplitude in thousandths, uniformly distributed */
+  bool sliding;   /* the expected verdict is BRN_SLIDING */
 };
 
-static const struct slide_case slide_cases[] = {
+static const struct sliding_case sliding_cases[] = {
   { 35, 0.00, 0.0, 100, false },  { 35, 0.02, 0.0, 100, true },
   { 35, 0.02, 0.5, 100, true },   { 35, 0.00, 0.5, 100, false },
   { 35, -0.05, 0.5, 100, false }, { 35, 0.005, 0.0, 20, false },
@@ -81,9 +86,10 @@
   { 30, 0.03, 0.3, 200, true },
 };
 
-/* Fills STATE with days of drafts whose first token slides.  */
+/* Counts days of drafts in STATE whose time to the first token changes as in
+   C.  */
 static void
-fill_days (struct brn_state *state, const struct slide_case *c)
+fill_days (struct brn_state *state, const struct sliding_case *c)
 {
   uint32_t seed = 1;
   for (int day = 0; day < c->days; day++)
@@ -103,7 +109,9 @@
     }
 }
 
-/* Today counts only once it is over: its work may be of one kind of hour. */
+/* Counts slower drafts on the current day, which have to stay out of the
+   trend: the day is incomplete, and all its requests may be from busy
+   hours.  */
 static void
 fill_today (struct brn_state *state, int64_t now_us)
 {
@@ -112,15 +120,15 @@
   bfx_observe (state, outcome, now_us, 40);
 }
 
-/* A slide of a few per cent a week is seen while every answer is still within
-   its bound, and the pattern of a week is not taken for one.  */
+/* A degradation of a few per cent a week is detected while every request still
+   meets the objective, and a weekly pattern is not taken for one.  */
 static void
-a_slow_slide_is_seen (void **state)
+slow_degradation_of_times_is_detected (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS (slide_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (sliding_cases); i++)
     {
-      const struct slide_case *c = &slide_cases[i];
+      const struct sliding_case *c = &sliding_cases[i];
       struct brn_state *burn = bfx_create (1);
       fill_days (burn, c);
       int64_t now_us = START_US + c->days * DAY_US + 60 * SECOND_US;
@@ -128,11 +136,11 @@
       struct brn_report_line line
           = bfx_find_line (burn, "trust", BRN_DRAFT, BRN_FIRST_TOKEN, now_us);
       bool sliding = line.verdict == BRN_SLIDING;
-      double off = line.trend.change_weekly - c->weekly;
+      double deviation = line.trend.change_weekly - c->weekly;
       if (line.bad != 0 || sliding != c->sliding
           || (line.trend.days > 0
-              && (off > 4 * line.trend.standard_error + 0.01
-                  || off < -4 * line.trend.standard_error - 0.01)))
+              && (deviation > 4 * line.trend.standard_error + 0.01
+                  || deviation < -4 * line.trend.standard_error - 0.01)))
         {
           fail_msg ("case %zu: verdict %s, change %f, error %f, bad %d", i,
                     brn_verdict_name (line.verdict), line.trend.change_weekly,
@@ -142,9 +150,10 @@
     }
 }
 
-/* Bookings that fail now and then, a little more each week, are seen.  */
+/* A failure rate of keyed calls that grows a little each week is detected
+   while budget is left.  */
 static void
-a_slide_of_availability_is_seen (void **state)
+slow_degradation_of_availability_is_detected (void **state)
 {
   (void)state;
   struct brn_state *burn = bfx_create (1);
@@ -167,10 +176,10 @@
   brn_destroy (burn);
 }
 
-/* An outage of half an hour burns over both windows, and its causes are
-   named.  */
+/* An outage of half an hour raises the burn rates over both windows, and its
+   most frequent causes are reported.  */
 static void
-an_outage_is_seen (void **state)
+an_outage_is_detected (void **state)
 {
   (void)state;
   struct brn_state *burn = bfx_create (1);
@@ -207,17 +216,17 @@
   brn_destroy (burn);
 }
 
-/* Old work leaves the windows, causes with it.  */
+/* Counts leave each window as they grow older.  */
 static void
-windows_end (void **state)
+counts_leave_the_windows (void **state)
 {
   (void)state;
   struct brn_state *burn = bfx_create (1);
   bfx_observe (burn, bfx_draft_outcome (0, ERR_ENDPOINT_FAILED), START_US, 10);
   static const struct
   {
-    int64_t after_us;
-    bool in_short;
+    int64_t elapsed_us;
+    bool in_short; /* counted in the window */
     bool in_long;
     bool in_budget;
   } cases[] = {
@@ -231,7 +240,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      int64_t now_us = START_US + cases[i].after_us;
+      int64_t now_us = START_US + cases[i].elapsed_us;
       struct brn_report_line line
           = bfx_find_line (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, now_us);
       assert_int_equal (line.short_burn > 0, cases[i].in_short);
@@ -245,11 +254,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (outcomes_are_judged),
-    cmocka_unit_test (a_slow_slide_is_seen),
-    cmocka_unit_test (a_slide_of_availability_is_seen),
-    cmocka_unit_test (an_outage_is_seen),
-    cmocka_unit_test (windows_end),
+    cmocka_unit_test (outcomes_are_counted),
+    cmocka_unit_test (slow_degradation_of_times_is_detected),
+    cmocka_unit_test (slow_degradation_of_availability_is_detected),
+    cmocka_unit_test (an_outage_is_detected),
+    cmocka_unit_test (counts_leave_the_windows),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/burn_test.c
+++ b/test/burn_test.c
@@ -1,3 +1,6 @@
+/* Tests of the state behind the error budgets: records have to survive
+   packing, merge to the same report on every daemon, and stay within their
+   limits. */
 #include "burn_fixture.h"
 
 #include <setjmp.h>
@@ -9,11 +12,11 @@
 
 #define DAEMONS 3
 
-/* Lets three daemons work through some buckets.  Returns the records that they
-   appended, and sets UNFLUSHED to the drafts of the last daemon that it never
-   did.  */
+/* Counts drafts on DAEMONS daemons over three buckets.  Returns the records
+   that they append.  The last daemon is lost before its last flush: UNFLUSHED
+   is set to the number of drafts that it counted but did not append.  */
 static GPtrArray *
-work (uint32_t *unflushed)
+append_records (uint32_t *unflushed)
 {
   GPtrArray *log
       = g_ptr_array_new_with_free_func ((GDestroyNotify)brn_record_destroy);
@@ -23,25 +26,26 @@
       for (int step = 0; step < 6; step++)
         {
           int64_t now_us = START_US + step * BUCKET_US / 2;
-          uint32_t amount = (uint32_t)(daemon * 10 + (uint64_t)step + 1);
+          uint32_t drafts = (uint32_t)(daemon * 10 + (uint64_t)step + 1);
           bfx_observe (burn, bfx_draft_outcome (step % 2, ERR_NONE), now_us,
-                       amount);
+                       drafts);
           bfx_observe (burn, bfx_draft_outcome (0, ERR_ENDPOINT_FAILED),
                        now_us, 1);
           if (daemon + 1 == DAEMONS && step == 5)
             {
-              *unflushed = amount + 1;
+              *unflushed = drafts + 1;
               break;
             }
-          GPtrArray *taken = bfx_flush_records (burn, now_us);
-          g_ptr_array_extend_and_steal (log, taken);
+          GPtrArray *flushed = bfx_flush_records (burn, now_us);
+          g_ptr_array_extend_and_steal (log, flushed);
         }
       brn_destroy (burn);
     }
   return log;
 }
 
-/* Returns the report of STATE as text, without the numbers of records.  */
+/* Returns the report of STATE as JSON text, without the counters of records,
+   which depend on duplicates.  */
 static char *
 report_text (const struct brn_state *state)
 {
@@ -56,13 +60,13 @@
   return text;
 }
 
-/* What is packed is read back whole.  */
+/* Unpacking a packed record gives the same record.  */
 static void
-records_read_back (void **state)
+packed_records_unpack_unchanged (void **state)
 {
   (void)state;
   uint32_t unflushed = 0;
-  GPtrArray *log = work (&unflushed);
+  GPtrArray *log = append_records (&unflushed);
   for (guint i = 0; i < log->len; i++)
     {
       const struct brn_record *record = g_ptr_array_index (log, i);
@@ -89,10 +93,10 @@
   g_ptr_array_free (log, TRUE);
 }
 
-/* Records of daemons that are hours and weeks apart merge the same in both
-   orders, though the older ones no longer fit every window.  */
+/* Records that are hours to weeks apart give the same report in both orders.
+   Merged last, the older ones no longer fit into every ring buffer.  */
 static void
-distant_records_merge_in_any_order (void **state)
+records_weeks_apart_merge_in_any_order (void **state)
 {
   (void)state;
   static const int64_t after_us[]
@@ -111,9 +115,9 @@
                        at_us, 1);
           bfx_observe (writer, bfx_draft_outcome (0, ERR_NONE), at_us,
                        1 + (uint32_t)place);
-          GPtrArray *taken = bfx_flush_records (writer, at_us);
-          brn_merge (reader, g_ptr_array_index (taken, 0));
-          g_ptr_array_free (taken, TRUE);
+          GPtrArray *flushed = bfx_flush_records (writer, at_us);
+          brn_merge (reader, g_ptr_array_index (flushed, 0));
+          g_ptr_array_free (flushed, TRUE);
           brn_destroy (writer);
         }
       struct brn_report *report = brn_report (reader, &bfx_config, now_us);
@@ -128,14 +132,14 @@
   free (texts[1]);
 }
 
-/* Records merge to the same report in any order, repeated or not, packed or
-   not.  */
+/* Records merge to the same report in any order, and merging all of them a
+   second time changes nothing.  */
 static void
 merging_is_commutative_and_idempotent (void **state)
 {
   (void)state;
   uint32_t unflushed = 0;
-  GPtrArray *log = work (&unflushed);
+  GPtrArray *log = append_records (&unflushed);
   char *wanted = NULL;
   for (guint shift = 0; shift < log->len; shift++)
     {
@@ -165,13 +169,14 @@
   g_ptr_array_free (log, TRUE);
 }
 
-/* A daemon that is lost takes only what it had not appended with it.  */
+/* When a daemon is lost, only the counts that it has not appended yet are
+   missing from the report.  */
 static void
-a_lost_daemon_loses_its_unflushed_bucket (void **state)
+a_lost_daemon_loses_only_unflushed_counts (void **state)
 {
   (void)state;
   uint32_t unflushed = 0;
-  GPtrArray *log = work (&unflushed);
+  GPtrArray *log = append_records (&unflushed);
   struct brn_state *reader = bfx_create (1);
   for (guint i = 0; i < log->len; i++)
     {
@@ -184,7 +189,8 @@
                               BRN_AVAILABILITY, START_US + 4 * BUCKET_US)
                    .total;
     }
-  /* steps 1 to 6 of each daemon, 10 more for each daemon, and a failure */
+  /* each daemon counts 1 to 6 drafts in its six steps, 10 more a step than the
+     daemon before it, and a failure in each step */
   uint32_t all = DAEMONS * (21 + 6) + (0 + 10 + 20) * 6;
   assert_int_equal (total, all - unflushed);
   assert_in_range (unflushed, 1, all / 3);
@@ -192,31 +198,32 @@
   g_ptr_array_free (log, TRUE);
 }
 
-/* A daemon counts its own work once, also when it reads its own record.  */
+/* A daemon that reads its own record from the log does not count its requests
+   again.  */
 static void
 own_records_count_once (void **state)
 {
   (void)state;
   struct brn_state *burn = bfx_create (1);
   bfx_observe (burn, bfx_draft_outcome (0, ERR_NONE), START_US, 3);
-  GPtrArray *taken = bfx_flush_records (burn, START_US);
-  assert_int_equal (taken->len, 1);
-  assert_int_equal (brn_merge (burn, g_ptr_array_index (taken, 0)),
+  GPtrArray *flushed = bfx_flush_records (burn, START_US);
+  assert_int_equal (flushed->len, 1);
+  assert_int_equal (brn_merge (burn, g_ptr_array_index (flushed, 0)),
                     BRN_DUPLICATE);
   struct brn_report_line line
       = bfx_find_line (burn, "trust", BRN_DRAFT, BRN_AVAILABILITY, START_US);
   assert_int_equal (line.total, 3);
-  g_ptr_array_free (taken, TRUE);
-  taken = bfx_flush_records (burn, START_US);
-  assert_int_equal (taken->len, 0);
-  g_ptr_array_free (taken, TRUE);
+  g_ptr_array_free (flushed, TRUE);
+  flushed = bfx_flush_records (burn, START_US);
+  assert_int_equal (flushed->len, 0);
+  g_ptr_array_free (flushed, TRUE);
   brn_destroy (burn);
 }
 
-/* One bucket gives a bounded number of records and none of the work is
-   lost.  */
+/* However often a bucket is flushed, it gives at most BRN_SEQUENCES_MAX
+   records, and no request is lost.  */
 static void
-sequences_are_bounded (void **state)
+records_per_bucket_are_bounded (void **state)
 {
   (void)state;
   struct brn_state *burn = bfx_create (1);
@@ -230,14 +237,14 @@
         {
           bfx_observe (burn, bfx_draft_outcome (0, ERR_NONE), now_us, 1);
         }
-      GPtrArray *taken = bfx_flush_records (burn, now_us);
-      records += taken->len;
-      for (guint j = 0; j < taken->len; j++)
+      GPtrArray *flushed = bfx_flush_records (burn, now_us);
+      records += flushed->len;
+      for (guint j = 0; j < flushed->len; j++)
         {
-          assert_int_equal (brn_merge (reader, g_ptr_array_index (taken, j)),
+          assert_int_equal (brn_merge (reader, g_ptr_array_index (flushed, j)),
                             BRN_MERGED);
         }
-      g_ptr_array_free (taken, TRUE);
+      g_ptr_array_free (flushed, TRUE);
     }
   assert_int_equal (records, BRN_SEQUENCES_MAX);
   assert_int_equal (bfx_find_line (reader, "trust", BRN_DRAFT,
@@ -248,10 +255,11 @@
   brn_destroy (reader);
 }
 
-/* Records of any age are read in order; one far behind its daemon's newest is
-   refused, as a repeat could not be told.  */
+/* Older records of a daemon are merged while their bucket is tracked.  Once a
+   bucket two hours later has replaced it, they are rejected, as they may have
+   been merged before.  */
 static void
-late_records_are_refused (void **state)
+too_old_records_are_rejected (void **state)
 {
   (void)state;
   struct brn_state *reader = bfx_create (1);
@@ -275,9 +283,10 @@
   brn_destroy (reader);
 }
 
-/* Series and causes are bounded; what is left out is counted.  */
+/* The numbers of series and causes are limited, and what is dropped is
+   counted.  */
 static void
-state_is_bounded (void **state)
+series_and_causes_are_bounded (void **state)
 {
   (void)state;
   struct brn_state *burn = brn_create (&(struct brn_params){
@@ -301,9 +310,10 @@
   brn_destroy (burn);
 }
 
-/* Causes that no report reaches take no room from new ones.  */
+/* Causes older than the budget window do not count towards the limit on
+   causes.  */
 static void
-old_causes_take_no_room (void **state)
+expired_causes_do_not_use_the_limit (void **state)
 {
   (void)state;
   struct brn_state *reader
@@ -317,9 +327,9 @@
           writer,
           bfx_draft_outcome (0, i == 0 ? ERR_NONE : ERR_ENDPOINT_FAILED),
           now_us, 1);
-      GPtrArray *taken = bfx_flush_records (writer, now_us);
-      brn_merge (reader, g_ptr_array_index (taken, 0));
-      g_ptr_array_free (taken, TRUE);
+      GPtrArray *flushed = bfx_flush_records (writer, now_us);
+      brn_merge (reader, g_ptr_array_index (flushed, 0));
+      g_ptr_array_free (flushed, TRUE);
       brn_destroy (writer);
     }
   struct brn_report *report
@@ -329,13 +339,14 @@
   brn_destroy (reader);
 }
 
-/* Cut and altered bytes are refused or read, without a fault.  */
+/* Truncated and altered bytes are either rejected or decoded, without invalid
+   memory accesses.  */
 static void
-malformed_bytes_are_refused (void **state)
+malformed_bytes_are_rejected (void **state)
 {
   (void)state;
   uint32_t unflushed = 0;
-  GPtrArray *log = work (&unflushed);
+  GPtrArray *log = append_records (&unflushed);
   GBytes *bytes = brn_pack (g_ptr_array_index (log, 0));
   gsize size = 0;
   const uint8_t *data = g_bytes_get_data (bytes, &size);
@@ -357,9 +368,10 @@
   g_ptr_array_free (log, TRUE);
 }
 
-/* The size for the log: docs/interfaces/report.md states it.  */
+/* The packed size of an account in a bucket, which docs/interfaces/report.md
+   states, keeps its limit.  */
 static void
-records_are_small (void **state)
+packed_records_are_small (void **state)
 {
   (void)state;
   struct brn_state *burn = bfx_create (UINT64_MAX);
@@ -376,13 +388,13 @@
       outcome.work = BRN_LOOKUP;
       bfx_observe (burn, outcome, START_US, 200);
     }
-  GPtrArray *taken = bfx_flush_records (burn, START_US);
-  GBytes *bytes = brn_pack (g_ptr_array_index (taken, 0));
+  GPtrArray *flushed = bfx_flush_records (burn, START_US);
+  GBytes *bytes = brn_pack (g_ptr_array_index (flushed, 0));
   gsize per_account = g_bytes_get_size (bytes) / 100;
   print_message ("%zu bytes for an account in a bucket\n", per_account);
   assert_in_range (per_account, 1, 100);
   g_bytes_unref (bytes);
-  g_ptr_array_free (taken, TRUE);
+  g_ptr_array_free (flushed, TRUE);
   brn_destroy (burn);
 }
 
@@ -390,17 +402,17 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (records_read_back),
-    cmocka_unit_test (distant_records_merge_in_any_order),
+    cmocka_unit_test (packed_records_unpack_unchanged),
+    cmocka_unit_test (records_weeks_apart_merge_in_any_order),
     cmocka_unit_test (merging_is_commutative_and_idempotent),
-    cmocka_unit_test (a_lost_daemon_loses_its_unflushed_bucket),
+    cmocka_unit_test (a_lost_daemon_loses_only_unflushed_counts),
     cmocka_unit_test (own_records_count_once),
-    cmocka_unit_test (sequences_are_bounded),
-    cmocka_unit_test (late_records_are_refused),
-    cmocka_unit_test (state_is_bounded),
-    cmocka_unit_test (old_causes_take_no_room),
-    cmocka_unit_test (malformed_bytes_are_refused),
-    cmocka_unit_test (records_are_small),
+    cmocka_unit_test (records_per_bucket_are_bounded),
+    cmocka_unit_test (too_old_records_are_rejected),
+    cmocka_unit_test (series_and_causes_are_bounded),
+    cmocka_unit_test (expired_causes_do_not_use_the_limit),
+    cmocka_unit_test (malformed_bytes_are_rejected),
+    cmocka_unit_test (packed_records_are_small),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/report_test.c
+++ b/test/report_test.c
@@ -1,3 +1,5 @@
+/* Tests of the report on error budgets as operators get it: the page, the API
+   call with its authorization, and the fields of the JSON. */
 #include "base/clock.h"
 #include "core/burn.h"
 #include "endpoint/connection.h"
@@ -13,7 +15,7 @@
 #define TOKEN "operator-token"
 #define TIMEOUT_US (10 * CLK_S_US)
 
-/* An operators' address over the counts of one account. */
+/* An operators' server that reports on one account, and a client of it. */
 struct fixture
 {
   struct cfg_account account;
@@ -24,6 +26,7 @@
   struct con_pool *pool;
 };
 
+/* Returns the report as the daemon's callback does, owned by the caller.  */
 static json_t *
 report (void *user_data)
 {
@@ -37,6 +40,7 @@
 
 static const struct opr_backend backend = { .report = report };
 
+/* Counts one good and one failed keyed call.  */
 static void
 count_outcomes (struct fixture *fixture)
 {
@@ -94,15 +98,15 @@
   return 0;
 }
 
-struct call_case
+struct request_case
 {
   const char *path;
   const char *token;
   uint16_t status;
-  const char *part; /* of the body */
+  const char *part; /* that the body has to contain */
 };
 
-static const struct call_case call_cases[] = {
+static const struct request_case request_cases[] = {
   { "/report", NULL, 200, "fetch('/v1/report'" },
   { "/report", TOKEN, 200, "Service-level burn" },
   { "/report/x", TOKEN, 404, "not_found" },
@@ -111,13 +115,14 @@
   { "/v1/report", TOKEN, 200, "\"account\":\"trust\"" },
 };
 
+/* The page needs no token, the API does.  */
 static void
-calls_are_answered (void **state)
+requests_are_answered (void **state)
 {
   const struct fixture *fixture = *state;
-  for (size_t i = 0; i < G_N_ELEMENTS (call_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (request_cases); i++)
     {
-      const struct call_case *c = &call_cases[i];
+      const struct request_case *c = &request_cases[i];
       struct con_answer answer;
       const struct con_call call = {
         .method = "GET",
@@ -137,9 +142,10 @@
     }
 }
 
-/* Every line has every field that docs/interfaces/report.md names.  */
+/* A line of the report has every field that docs/interfaces/report.md
+   names.  */
 static void
-the_report_is_whole (void **state)
+the_report_has_every_field (void **state)
 {
   json_t *json = report (*state);
   assert_non_null (json);
@@ -195,8 +201,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (calls_are_answered),
-    cmocka_unit_test (the_report_is_whole),
+    cmocka_unit_test (requests_are_answered),
+    cmocka_unit_test (the_report_has_every_field),
   };
   return cmocka_run_group_tests (tests, create_fixture, destroy_fixture);
 }
