--- a/src/core/burn.h
+++ b/src/core/burn.h
@@ -23,7 +23,7 @@
 #include <stdint.h>
 
 #define BRN_STREAM "burn" /* stream of the log */
-#define BRN_BUCKET_S 300  /* records count by buckets of this length */
+#define BRN_BUCKET_S 300  /* requests are counted by buckets of time */
 #define BRN_SHORT_WINDOW_BUCKETS 12 /* one hour */
 #define BRN_LONG_WINDOW_HOURS 24
 #define BRN_BUDGET_WINDOW_DAYS 28
@@ -54,11 +54,11 @@
   const char *account;
   enum brn_work work;
   enum err_kind error;
-  int64_t first_token_us;
+  int64_t first_token_us;    /* from the start to the first token */
   int64_t between_tokens_us; /* mean over this request */
-  int64_t settled_us;
-  const char *endpoint;    /* the last one that was tried; "": none */
-  const char *data_centre; /* of that endpoint; "": not known */
+  int64_t settled_us;        /* from the start to the answer */
+  const char *endpoint;      /* the last one that was tried; "": none */
+  const char *data_centre;   /* of that endpoint; "": not known */
   const struct cfg_objective *objective; /* of the account */
 };
 
@@ -71,7 +71,8 @@
                       geometric mean */
 };
 
-/* Number of bad requests with the same error, endpoint and data centre. */
+/* Number of requests that missed an objective with the same error, endpoint
+   and data centre. */
 struct brn_cause
 {
   enum brn_objective objective;
@@ -81,6 +82,7 @@
   uint32_t count;
 };
 
+/* What requests are counted by. */
 struct brn_key
 {
   char account[CFG_NAME_BYTES];
@@ -187,12 +189,13 @@
   enum brn_verdict verdict;
 };
 
-/* The counters are totals since the daemon started. */
+/* The state of all objectives.  The counters are totals since the daemon
+   started. */
 struct brn_report
 {
   int64_t at_us;   /* since 1970 */
   GArray *lines;   /* struct brn_report_line, by account, work and objective */
-  uint64_t merged; /* records, those of this daemon excepted */
+  uint64_t merged; /* records; this daemon counts its own requests directly */
   uint64_t duplicates;      /* records that were merged before */
   uint64_t too_old;         /* records that were rejected */
   uint64_t dropped_causes;  /* over causes_max */
--- a/src/operator/operator.h
+++ b/src/operator/operator.h
@@ -55,7 +55,7 @@
   const char *token;   /* that clients of the API have to present */
   struct cnt_set *counters;
   const struct opr_backend *backend;
-  void *user_data;
+  void *user_data; /* passed to the callbacks */
 };
 
 struct opr_server;
