--- a/src/peer/address.c
+++ b/src/peer/address.c
@@ -6,8 +6,9 @@
 #include <netinet/in.h>
 #include <string.h>
 
-/* Splits TEXT at its last colon; HOST without brackets.  Sets both, to be
-   freed, unless there is no colon.  False when PORT is no port.  */
+/* Splits TEXT at its last colon into HOST, without brackets, and PORT.
+   Returns false when there is no colon, with both left unset, or when PORT
+   isn't a valid port.  The caller frees both.  */
 static bool
 split (const char *text, char **host, char **port)
 {
@@ -28,8 +29,9 @@
   return g_ascii_string_to_unsigned (*port, 10, 0, UINT16_MAX, NULL, NULL);
 }
 
-/* Reads TEXT, "IP:PORT" or "[IP]:PORT", into ADDRESS and SIZE; false when it
-   is something else.  Resolves no names.  */
+/* Parses TEXT, "IP:PORT" or "[IP]:PORT", and sets ADDRESS and its SIZE in
+   bytes.  Returns false when TEXT has another form; host names aren't
+   resolved.  */
 bool
 adr_parse (const char *text, struct sockaddr_storage *address, socklen_t *size)
 {
@@ -51,9 +53,10 @@
   return parsed;
 }
 
-/* Returns TEXT with PORT in place of its own.  */
+/* Returns the address TEXT, IP:PORT, with PORT in place of the original port.
+   The caller frees the string.  */
 char *
-adr_with_port (const char *text, uint16_t port)
+adr_replace_port (const char *text, uint16_t port)
 {
   const char *colon = strrchr (text, ':');
   const gsize host_bytes
@@ -61,9 +64,9 @@
   return g_strdup_printf ("%.*s:%u", (int)host_bytes, text, port);
 }
 
-/* Returns the port that the socket FD is bound to, 0 on failure.  */
+/* Returns the port that the socket FD is bound to, or 0 on failure.  */
 uint16_t
-adr_port_of (int fd)
+adr_bound_port (int fd)
 {
   union
   {
--- a/src/peer/address.h
+++ b/src/peer/address.h
@@ -1,4 +1,5 @@
-/* Addresses IP:PORT as socket addresses. */
+/* Conversion between addresses as text, IP:PORT or [IP]:PORT, and socket
+   addresses.  Names are not resolved. */
 #ifndef PEER_ADDRESS_H
 #define PEER_ADDRESS_H
 
@@ -8,7 +9,7 @@
 
 bool adr_parse (const char *text, struct sockaddr_storage *address,
                 socklen_t *size);
-char *adr_with_port (const char *text, uint16_t port);
-uint16_t adr_port_of (int fd);
+char *adr_replace_port (const char *text, uint16_t port);
+uint16_t adr_bound_port (int fd);
 
 #endif
--- a/src/peer/connection.c
+++ b/src/peer/connection.c
@@ -11,11 +11,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_BYTES 16384
+#define READ_BUFFER_BYTES 16384
 
 static gboolean on_readable (gint fd, GIOCondition condition, gpointer data);
 static gboolean on_writable (gint fd, GIOCondition condition, gpointer data);
 
+/* Makes the main loop call FUNCTION whenever CONDITION holds for the socket.
+ */
 static GSource *
 watch (struct pcn_connection *connection, GIOCondition condition,
        GUnixFDSourceFunc function)
@@ -54,19 +56,21 @@
     .out = g_byte_array_new (),
     .pending = g_byte_array_new (),
     .created_at_us = now_us,
-    .sent_at_us = now_us,
-    .received_at_us = now_us,
-    .used_at_us = now_us,
+    .last_sent_at_us = now_us,
+    .last_received_at_us = now_us,
+    .last_message_at_us = now_us,
   };
   connection->peer.address = g_strdup (address);
   hsk_new_nonce (connection->nonce);
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &no_delay, sizeof no_delay);
-  connection->readable = watch (connection, G_IO_IN, on_readable);
+  connection->read_source = watch (connection, G_IO_IN, on_readable);
   return connection;
 }
 
-/* Starts to connect to ADDRESS, IP:PORT.  Returns NULL when that is no address
-   or no socket is to be had; later failures close the connection.  */
+/* Starts to connect to ADDRESS, IP:PORT, and returns a connection with one
+   reference.  Returns NULL when ADDRESS is invalid, or when the socket can't
+   be created or connecting fails at once; a later failure closes the
+   connection.  */
 struct pcn_connection *
 pcn_dial (const struct pcn_params *params, const char *address)
 {
@@ -90,25 +94,27 @@
     }
   struct pcn_connection *connection
       = create (params, HSK_DIALLER, fd, address);
-  connection->writable = watch (connection, G_IO_OUT, on_writable);
+  connection->write_source = watch (connection, G_IO_OUT, on_writable);
   return connection;
 }
 
-/* Takes over the accepted, non-blocking socket FD.  */
+/* Returns a connection with one reference on the accepted, non-blocking socket
+   FD, which then belongs to the connection.  */
 struct pcn_connection *
 pcn_accept (const struct pcn_params *params, int fd)
 {
   return create (params, HSK_LISTENER, fd, "");
 }
 
-/* Holds CONNECTION.  */
+/* Adds a reference to CONNECTION.  */
 void
 pcn_ref (struct pcn_connection *connection)
 {
   connection->references++;
 }
 
-/* Lets go of CONNECTION; the last one closes and frees it.  */
+/* Removes a reference from CONNECTION; without references, the connection is
+   closed and freed.  */
 void
 pcn_unref (struct pcn_connection *connection)
 {
@@ -125,41 +131,42 @@
   g_free (connection);
 }
 
-/* Closes CONNECTION; what it has not sent is lost.  FAULT is static: what the
-   other side did wrong, or NULL.  */
+/* Closes CONNECTION; data that hasn't been sent is discarded.  PROTOCOL_ERROR
+   is a static string that names the error of the other side, or NULL.  */
 void
-pcn_close (struct pcn_connection *connection, const char *fault)
+pcn_close (struct pcn_connection *connection, const char *protocol_error)
 {
   if (connection->state == PCN_CLOSED)
     {
       return;
     }
   connection->state = PCN_CLOSED;
-  connection->fault = fault;
-  unwatch (&connection->readable);
-  unwatch (&connection->writable);
+  connection->protocol_error = protocol_error;
+  unwatch (&connection->read_source);
+  unwatch (&connection->write_source);
   close (connection->fd);
   connection->fd = -1;
 }
 
-/* Bytes that wait to be sent.  */
+/* Returns the number of bytes that are queued but not yet sent.  */
 guint
-pcn_waiting_bytes (const struct pcn_connection *connection)
+pcn_queued_bytes (const struct pcn_connection *connection)
 {
-  return connection->out->len - connection->out_sent
+  return connection->out->len - connection->out_sent_bytes
          + connection->pending->len;
 }
 
-/* Sends what the socket takes, and waits for it when it takes no more.  */
+/* Sends as many queued bytes as the socket accepts.  Watches the socket for
+   writability while some remain.  */
 static void
 flush (struct pcn_connection *connection)
 {
   GByteArray *out = connection->out;
-  while (connection->out_sent < out->len)
+  while (connection->out_sent_bytes < out->len)
     {
       const ssize_t sent
-          = send (connection->fd, out->data + connection->out_sent,
-                  out->len - connection->out_sent, MSG_NOSIGNAL);
+          = send (connection->fd, out->data + connection->out_sent_bytes,
+                  out->len - connection->out_sent_bytes, MSG_NOSIGNAL);
       if (sent < 0 && errno == EINTR)
         {
           continue;
@@ -173,37 +180,40 @@
         {
           break;
         }
-      connection->out_sent += (guint)sent;
+      connection->out_sent_bytes += (guint)sent;
       connection->sent_bytes += (uint64_t)sent;
     }
-  if (connection->out_sent == out->len)
+  if (connection->out_sent_bytes == out->len)
     {
       g_byte_array_set_size (out, 0);
-      connection->out_sent = 0;
-      unwatch (&connection->writable);
+      connection->out_sent_bytes = 0;
+      unwatch (&connection->write_source);
     }
-  else if (connection->writable == NULL)
+  else if (connection->write_source == NULL)
     {
-      connection->writable = watch (connection, G_IO_OUT, on_writable);
+      connection->write_source = watch (connection, G_IO_OUT, on_writable);
     }
 }
 
+/* Queues ENVELOPE behind the frames in OUT and sends what the socket accepts.
+   Also used during the handshake.  */
 static void
 send_now (struct pcn_connection *connection, const Peer__Envelope *envelope)
 {
   frm_append (connection->out, envelope);
-  connection->sent_at_us = clk_monotonic_us ();
-  if (connection->writable == NULL)
+  connection->last_sent_at_us = clk_monotonic_us ();
+  if (connection->write_source == NULL)
     {
       flush (connection);
     }
 }
 
-/* Sends ENVELOPE, after the handshake when that is under way.  */
+/* Sends ENVELOPE, or queues it until the handshake is done.  On a closed
+   connection it is discarded.  */
 void
 pcn_send (struct pcn_connection *connection, const Peer__Envelope *envelope)
 {
-  connection->used_at_us = clk_monotonic_us ();
+  connection->last_message_at_us = clk_monotonic_us ();
   if (connection->state == PCN_OPEN)
     {
       send_now (connection, envelope);
@@ -214,7 +224,7 @@
     }
 }
 
-/* Sends a heartbeat on an open connection.  */
+/* Sends a heartbeat if CONNECTION is open.  */
 void
 pcn_heartbeat (struct pcn_connection *connection)
 {
@@ -228,7 +238,8 @@
     }
 }
 
-/* Sends this side's hello; a listener proves itself by it against NONCE.  */
+/* Sends this side's hello.  NONCE is that of the dialler's hello, for which
+   the listener adds a proof; NULL on the dialler's side.  */
 static void
 send_hello (struct pcn_connection *connection, const uint8_t *nonce)
 {
@@ -243,8 +254,8 @@
   hello.nonce.len = HSK_NONCE_BYTES;
   if (nonce != NULL)
     {
-      hsk_prove (connection->params->secret, HSK_LISTENER, self, nonce,
-                 HSK_NONCE_BYTES, proof);
+      hsk_compute_proof (connection->params->secret, HSK_LISTENER, self, nonce,
+                         HSK_NONCE_BYTES, proof);
       hello.proof.data = proof;
       hello.proof.len = HSK_PROOF_BYTES;
     }
@@ -258,8 +269,8 @@
 send_proof (struct pcn_connection *connection, const uint8_t *nonce)
 {
   uint8_t bytes[HSK_PROOF_BYTES];
-  hsk_prove (connection->params->secret, HSK_DIALLER, connection->params->self,
-             nonce, HSK_NONCE_BYTES, bytes);
+  hsk_compute_proof (connection->params->secret, HSK_DIALLER,
+                     connection->params->self, nonce, HSK_NONCE_BYTES, bytes);
   Peer__Proof proof = PEER__PROOF__INIT;
   proof.proof.data = bytes;
   proof.proof.len = HSK_PROOF_BYTES;
@@ -269,8 +280,10 @@
   send_now (connection, &envelope);
 }
 
+/* Opens CONNECTION: allows frames of full size and sends those that were
+   queued during the handshake.  */
 static void
-open_up (struct pcn_connection *connection)
+finish_handshake (struct pcn_connection *connection)
 {
   connection->state = PCN_OPEN;
   frm_reader_set_max (connection->reader, FRM_BYTES_MAX);
@@ -285,13 +298,15 @@
     }
 }
 
+/* Checks HELLO.  The listener answers with its own hello; the dialler verifies
+   the proof in HELLO and sends its own.  */
 static void
-take_hello (struct pcn_connection *connection, const Peer__Hello *hello)
+handle_hello (struct pcn_connection *connection, const Peer__Hello *hello)
 {
-  const char *fault = hsk_find_fault (hello);
-  if (fault != NULL)
+  const char *protocol_error = hsk_check_hello (hello);
+  if (protocol_error != NULL)
     {
-      pcn_close (connection, fault);
+      pcn_close (connection, protocol_error);
       return;
     }
   g_free (connection->peer.name);
@@ -308,8 +323,8 @@
   const struct hsk_identity listener = { .name = hello->name,
                                          .address = hello->address,
                                          .incarnation = hello->incarnation };
-  if (!hsk_is_proof (connection->params->secret, HSK_LISTENER, &listener,
-                     connection->nonce, &hello->proof))
+  if (!hsk_verify_proof (connection->params->secret, HSK_LISTENER, &listener,
+                         connection->nonce, &hello->proof))
     {
       pcn_close (connection, "bad_proof");
       return;
@@ -317,17 +332,17 @@
   send_proof (connection, hello->nonce.data);
   if (connection->state != PCN_CLOSED)
     {
-      open_up (connection);
+      finish_handshake (connection);
     }
 }
 
 static void
-take_proof (struct pcn_connection *connection, const Peer__Proof *proof)
+handle_proof (struct pcn_connection *connection, const Peer__Proof *proof)
 {
-  if (hsk_is_proof (connection->params->secret, HSK_DIALLER, &connection->peer,
-                    connection->nonce, &proof->proof))
+  if (hsk_verify_proof (connection->params->secret, HSK_DIALLER,
+                        &connection->peer, connection->nonce, &proof->proof))
     {
-      open_up (connection);
+      finish_handshake (connection);
     }
   else
     {
@@ -335,9 +350,11 @@
     }
 }
 
+/* Handles an envelope on an open connection.  Heartbeats and bodies that only
+   later versions know are ignored.  */
 static void
-take_message (struct pcn_connection *connection,
-              const Peer__Envelope *envelope)
+handle_message (struct pcn_connection *connection,
+                const Peer__Envelope *envelope)
 {
   switch (envelope->body_case)
     {
@@ -349,7 +366,7 @@
     case PEER__ENVELOPE__BODY__NOT_SET:
       break;
     default:
-      connection->used_at_us = clk_monotonic_us ();
+      connection->last_message_at_us = clk_monotonic_us ();
       connection->params->callbacks->on_envelope (
           connection->params->user_data, connection, envelope);
       break;
@@ -357,22 +374,22 @@
 }
 
 static void
-take_envelope (struct pcn_connection *connection,
-               const Peer__Envelope *envelope)
+handle_envelope (struct pcn_connection *connection,
+                 const Peer__Envelope *envelope)
 {
   if (connection->state == PCN_OPEN)
     {
-      take_message (connection, envelope);
+      handle_message (connection, envelope);
     }
   else if (connection->state == PCN_HELLO
            && envelope->body_case == PEER__ENVELOPE__BODY_HELLO)
     {
-      take_hello (connection, envelope->hello);
+      handle_hello (connection, envelope->hello);
     }
   else if (connection->state == PCN_PROOF
            && envelope->body_case == PEER__ENVELOPE__BODY_PROOF)
     {
-      take_proof (connection, envelope->proof);
+      handle_proof (connection, envelope->proof);
     }
   else
     {
@@ -380,8 +397,9 @@
     }
 }
 
+/* Handles all complete frames in the reader's buffer.  */
 static void
-take_frames (struct pcn_connection *connection)
+handle_frames (struct pcn_connection *connection)
 {
   enum frm_status status = FRM_COMPLETE;
   while (connection->state != PCN_CLOSED && status == FRM_COMPLETE)
@@ -390,7 +408,7 @@
       status = frm_next (connection->reader, &envelope);
       if (status == FRM_COMPLETE)
         {
-          take_envelope (connection, envelope);
+          handle_envelope (connection, envelope);
           peer__envelope__free_unpacked (envelope, NULL);
         }
       else if (status != FRM_INCOMPLETE)
@@ -405,7 +423,7 @@
 {
   (void)condition;
   struct pcn_connection *connection = data;
-  uint8_t bytes[READ_BYTES];
+  uint8_t bytes[READ_BUFFER_BYTES];
   const ssize_t size = recv (fd, bytes, sizeof bytes, 0);
   if (size < 0 && (errno == EAGAIN || errno == EINTR))
     {
@@ -418,10 +436,10 @@
     }
   else
     {
-      connection->received_at_us = clk_monotonic_us ();
+      connection->last_received_at_us = clk_monotonic_us ();
       connection->received_bytes += (uint64_t)size;
       frm_push (connection->reader, bytes, (size_t)size);
-      take_frames (connection);
+      handle_frames (connection);
     }
   pcn_unref (connection);
   return G_SOURCE_CONTINUE;
@@ -433,18 +451,18 @@
   (void)condition;
   struct pcn_connection *connection = data;
   pcn_ref (connection);
-  int failure = 0;
-  socklen_t size = sizeof failure;
+  int socket_error = 0;
+  socklen_t size = sizeof socket_error;
   if (connection->state == PCN_CONNECTING
-      && (getsockopt (fd, SOL_SOCKET, SO_ERROR, &failure, &size) != 0
-          || failure != 0))
+      && (getsockopt (fd, SOL_SOCKET, SO_ERROR, &socket_error, &size) != 0
+          || socket_error != 0))
     {
       pcn_close (connection, NULL);
     }
   else if (connection->state == PCN_CONNECTING)
     {
       connection->state = PCN_HELLO;
-      unwatch (&connection->writable);
+      unwatch (&connection->write_source);
       send_hello (connection, NULL);
     }
   else
--- a/src/peer/connection.h
+++ b/src/peer/connection.h
@@ -1,4 +1,7 @@
-/* One connection to another daemon: non-blocking, on a main loop. */
+/* A connection to another daemon: a non-blocking TCP socket, watched by a GLib
+   main loop, on which a handshake and then framed envelopes are exchanged.
+   Connections are reference-counted and not thread-safe: all calls belong to
+   the thread that runs the main loop. */
 #ifndef PEER_CONNECTION_H
 #define PEER_CONNECTION_H
 
@@ -11,16 +14,16 @@
 
 enum pcn_state
 {
-  PCN_CONNECTING,
-  PCN_HELLO, /* the other side's hello is awaited */
-  PCN_PROOF, /* the dialler's proof is awaited */
-  PCN_OPEN,
+  PCN_CONNECTING, /* TCP connect in progress */
+  PCN_HELLO,      /* waits for the other side's hello */
+  PCN_PROOF,      /* listener only: waits for the dialler's proof */
+  PCN_OPEN,       /* handshake done */
   PCN_CLOSED
 };
 
 struct pcn_connection;
 
-/* What the owner is told; the connection may be closed within a call. */
+/* Called on the main loop.  The callee may close the connection. */
 struct pcn_callbacks
 {
   void (*on_open) (void *user_data, struct pcn_connection *connection);
@@ -28,12 +31,13 @@
                        const Peer__Envelope *envelope);
 };
 
-/* What connections of one owner share. */
+/* Parameters that all connections of one owner share; they must outlive the
+   connections. */
 struct pcn_params
 {
   GMainContext *context;
-  const struct hsk_identity *self;
-  const char *secret;
+  const struct hsk_identity *self; /* of this process */
+  const char *secret;              /* of the fleet; "" when there is none */
   const struct pcn_callbacks *callbacks;
   void *user_data;
 };
@@ -44,20 +48,22 @@
   enum pcn_state state;
   enum hsk_side side; /* of this process */
   uint32_t references;
-  int fd;
-  struct hsk_identity peer; /* the address alone before the hello */
-  uint8_t nonce[HSK_NONCE_BYTES];
+  int fd;                   /* -1: closed */
+  struct hsk_identity peer; /* before the hello only the address, "" on the
+                               listener's side */
+  uint8_t nonce[HSK_NONCE_BYTES]; /* of this side */
   struct frm_reader *reader;
-  GByteArray *out;
-  guint out_sent;      /* bytes of OUT that are gone */
-  GByteArray *pending; /* frames that wait for the handshake */
-  GSource *readable;
-  GSource *writable; /* NULL unless there is something to wait for */
-  const char *fault; /* why it was closed; NULL: no fault of the other side */
-  int64_t created_at_us;
-  int64_t sent_at_us;
-  int64_t received_at_us;
-  int64_t used_at_us; /* last message that wasn't a heartbeat */
+  GByteArray *out;      /* frames to send */
+  guint out_sent_bytes; /* bytes at the start of OUT that were sent */
+  GByteArray *pending;  /* frames to send after the handshake */
+  GSource *read_source;
+  GSource *write_source;      /* NULL unless a connect or a send is pending */
+  const char *protocol_error; /* why the connection was closed; NULL: not
+                                 closed for an error of the other side */
+  int64_t created_at_us;      /* this and the times below: monotonic */
+  int64_t last_sent_at_us;
+  int64_t last_received_at_us;
+  int64_t last_message_at_us; /* sent or received; heartbeats don't count */
   uint64_t sent_bytes;
   uint64_t received_bytes;
 };
@@ -70,7 +76,7 @@
 void pcn_send (struct pcn_connection *connection,
                const Peer__Envelope *envelope);
 void pcn_heartbeat (struct pcn_connection *connection);
-void pcn_close (struct pcn_connection *connection, const char *fault);
-guint pcn_waiting_bytes (const struct pcn_connection *connection);
+void pcn_close (struct pcn_connection *connection, const char *protocol_error);
+guint pcn_queued_bytes (const struct pcn_connection *connection);
 
 #endif
--- a/src/peer/frame.h
+++ b/src/peer/frame.h
@@ -1,5 +1,5 @@
-/* Frames between daemons: four bytes of length, big-endian, then one packed
-   Envelope. */
+/* Framing of the messages between daemons.  A frame consists of the length as
+   four bytes, big-endian, and one packed Envelope of that many bytes. */
 #ifndef PEER_FRAME_H
 #define PEER_FRAME_H
 
@@ -9,18 +9,19 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define FRM_HEAD_BYTES 4
-#define FRM_BYTES_MAX (UINT32_C (4) << 20)
-#define FRM_HELLO_BYTES_MAX UINT32_C (4096) /* before the peer is known */
+#define FRM_HEADER_BYTES 4
+#define FRM_BYTES_MAX (UINT32_C (4) << 20)  /* after the handshake */
+#define FRM_HELLO_BYTES_MAX UINT32_C (4096) /* during the handshake */
 
 enum frm_status
 {
   FRM_COMPLETE,
   FRM_INCOMPLETE, /* more bytes are needed */
-  FRM_OVERSIZED,
-  FRM_MALFORMED
+  FRM_OVERSIZED,  /* the length exceeds the reader's limit */
+  FRM_MALFORMED   /* the envelope can't be unpacked */
 };
 
+/* Splits a received byte stream into frames. */
 struct frm_reader;
 
 struct frm_reader *frm_reader_create (uint32_t frame_bytes_max);
--- a/src/peer/handshake.c
+++ b/src/peer/handshake.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <sys/random.h>
 
-/* Fills NONCE from the system's random numbers.  */
+/* Fills NONCE with random bytes from the kernel.  */
 void
 hsk_new_nonce (uint8_t nonce[HSK_NONCE_BYTES])
 {
@@ -13,6 +13,8 @@
   g_assert (filled == HSK_NONCE_BYTES);
 }
 
+/* Adds a field to HMAC, preceded by its length, so that no two sequences of
+   fields have the same HMAC input.  */
 static void
 update_field (GHmac *hmac, const void *bytes, size_t size)
 {
@@ -21,12 +23,13 @@
   g_hmac_update (hmac, bytes, (gssize)size);
 }
 
-/* Computes the PROOF by which PROVER, on SIDE of the connection, answers
-   NONCE: an HMAC-SHA256 with SECRET over side, nonce and identity.  */
+/* Computes the PROOF that PROVER, on SIDE of the connection, sends for the
+   other side's NONCE: an HMAC-SHA256 with SECRET over side, nonce and
+   identity.  */
 void
-hsk_prove (const char *secret, enum hsk_side side,
-           const struct hsk_identity *prover, const uint8_t *nonce,
-           size_t nonce_bytes, uint8_t proof[HSK_PROOF_BYTES])
+hsk_compute_proof (const char *secret, enum hsk_side side,
+                   const struct hsk_identity *prover, const uint8_t *nonce,
+                   size_t nonce_bytes, uint8_t proof[HSK_PROOF_BYTES])
 {
   const char *role = side == HSK_DIALLER ? "dialler" : "listener";
   const uint64_t incarnation = GUINT64_TO_BE (prover->incarnation);
@@ -42,12 +45,14 @@
   g_hmac_unref (hmac);
 }
 
-/* Whether PROOF is the one that PROVER would give.  Takes the same time for
-   every wrong proof.  */
+/* Returns true when PROOF is the correct proof of PROVER, on SIDE of the
+   connection, for NONCE, which has HSK_NONCE_BYTES bytes.  The comparison
+   takes the same time wherever a wrong proof differs, so that the time reveals
+   nothing about the correct one.  */
 bool
-hsk_is_proof (const char *secret, enum hsk_side side,
-              const struct hsk_identity *prover, const uint8_t *nonce,
-              const ProtobufCBinaryData *proof)
+hsk_verify_proof (const char *secret, enum hsk_side side,
+                  const struct hsk_identity *prover, const uint8_t *nonce,
+                  const ProtobufCBinaryData *proof)
 {
   uint8_t expected[HSK_PROOF_BYTES];
   uint8_t difference = 0;
@@ -55,7 +60,7 @@
     {
       return false;
     }
-  hsk_prove (secret, side, prover, nonce, HSK_NONCE_BYTES, expected);
+  hsk_compute_proof (secret, side, prover, nonce, HSK_NONCE_BYTES, expected);
   for (size_t i = 0; i < HSK_PROOF_BYTES; i++)
     {
       difference |= (uint8_t)(expected[i] ^ proof->data[i]);
@@ -63,10 +68,11 @@
   return difference == 0;
 }
 
-/* Returns what is wrong with HELLO, for a log line, or NULL.  Versions above
-   this one are taken: they keep what this one knows.  */
+/* Returns NULL when HELLO is valid, else the name of the error for a log line.
+   Versions above HSK_VERSION are accepted, because later versions keep the
+   fields of this one.  */
 const char *
-hsk_find_fault (const Peer__Hello *hello)
+hsk_check_hello (const Peer__Hello *hello)
 {
   if (hello->version < HSK_VERSION)
     {
--- a/src/peer/hub.c
+++ b/src/peer/hub.c
@@ -13,7 +13,7 @@
 #include <unistd.h>
 
 #define LISTEN_BACKLOG 64
-#define CHECKS_PER_SILENCE 8
+#define CHECKS_PER_RECEIVE_TIMEOUT 8 /* at least */
 
 struct peer_hub
 {
@@ -24,53 +24,56 @@
   void *user_data;
   struct pcn_callbacks connection_callbacks;
   struct pcn_params params;
-  GPtrArray *connections; /* struct pcn_connection; a reference each */
-  int64_t heartbeat_us;
-  int64_t silence_us;
+  GPtrArray *connections; /* struct pcn_connection, with one reference each */
+  int64_t heartbeat_interval_us;
+  int64_t receive_timeout_us;
   uint32_t connections_max;
   int fd;
   uint16_t port;
-  GSource *acceptable;
-  GSource *timer;
+  GSource *accept_source;
+  GSource *timer_source;
   struct peer_stats stats;
 };
 
-/* Lets go of CONNECTION, which is or will be closed, and counts it.  */
+/* Closes CONNECTION if it isn't closed yet, adds its counts to those of HUB,
+   logs its protocol error if there is one, and removes it from HUB.  */
 static void
-drop (struct peer_hub *hub, struct pcn_connection *connection,
-      const char *fault)
+remove_connection (struct peer_hub *hub, struct pcn_connection *connection,
+                   const char *protocol_error)
 {
-  pcn_close (connection, fault);
+  pcn_close (connection, protocol_error);
   hub->stats.sent_bytes += connection->sent_bytes;
   hub->stats.received_bytes += connection->received_bytes;
-  if (connection->fault != NULL)
+  if (connection->protocol_error != NULL)
     {
       hub->stats.rejected += 1;
       lg_line (LOG_WARNING, "peer_connection_closed", "peer=%s reason=%s",
-               connection->peer.address, connection->fault);
+               connection->peer.address, connection->protocol_error);
     }
   g_ptr_array_remove_fast (hub->connections, connection);
 }
 
 static void
-drop_closed (struct peer_hub *hub)
+remove_closed_connections (struct peer_hub *hub)
 {
   for (guint i = hub->connections->len; i-- > 0;)
     {
       struct pcn_connection *connection = hub->connections->pdata[i];
       if (connection->state == PCN_CLOSED)
         {
-          drop (hub, connection, connection->fault);
+          remove_connection (hub, connection, connection->protocol_error);
         }
     }
 }
 
-/* Closes the connection that was used the longest ago when there are too
-   many; one that has not proved itself goes before all others.  */
+/* Makes sure that a connection can be added: at the limit, closes the
+   connection whose last message is the oldest.  Connections that haven't
+   finished the handshake are closed before open ones, so that
+   unauthenticated clients displace one peer at most.  */
 static void
-make_room (struct peer_hub *hub)
+ensure_free_slot (struct peer_hub *hub)
 {
-  drop_closed (hub);
+  remove_closed_connections (hub);
   if (hub->connections->len < hub->connections_max)
     {
       return;
@@ -81,13 +84,14 @@
       struct pcn_connection *connection = hub->connections->pdata[i];
       const bool oldest_open = oldest->state == PCN_OPEN;
       const bool open = connection->state == PCN_OPEN;
-      if (open == oldest_open ? connection->used_at_us < oldest->used_at_us
-                              : oldest_open)
+      if (open == oldest_open
+              ? connection->last_message_at_us < oldest->last_message_at_us
+              : oldest_open)
         {
           oldest = connection;
         }
     }
-  drop (hub, oldest, NULL);
+  remove_connection (hub, oldest, NULL);
 }
 
 static void
@@ -107,7 +111,7 @@
 }
 
 static gboolean
-on_acceptable (gint fd, GIOCondition condition, gpointer data)
+on_accept_ready (gint fd, GIOCondition condition, gpointer data)
 {
   (void)condition;
   struct peer_hub *hub = data;
@@ -116,37 +120,38 @@
     {
       return G_SOURCE_CONTINUE;
     }
-  make_room (hub);
+  ensure_free_slot (hub);
   hub->stats.accepted += 1;
   g_ptr_array_add (hub->connections, pcn_accept (&hub->params, accepted));
   return G_SOURCE_CONTINUE;
 }
 
-/* Closes CONNECTION when it took too long, and keeps it alive otherwise.  */
+/* Closes CONNECTION if one of its timeouts has expired; otherwise sends a
+   heartbeat when one is due.  */
 static void
-check_connection (struct peer_hub *hub, struct pcn_connection *connection,
-                  int64_t now_us)
+check_timeouts (struct peer_hub *hub, struct pcn_connection *connection,
+                int64_t now_us)
 {
   if (connection->state != PCN_OPEN)
     {
-      if (now_us - connection->created_at_us > PEER_HANDSHAKE_US)
+      if (now_us - connection->created_at_us > PEER_HANDSHAKE_TIMEOUT_US)
         {
           pcn_close (connection, NULL);
         }
       return;
     }
-  if (now_us - connection->received_at_us > hub->silence_us)
+  if (now_us - connection->last_received_at_us > hub->receive_timeout_us)
     {
-      hub->stats.silent += 1;
+      hub->stats.timed_out += 1;
       lg_line (LOG_NOTICE, "peer_connection_silent", "peer=%s",
                connection->peer.address);
       pcn_close (connection, NULL);
     }
-  else if (now_us - connection->used_at_us > PEER_IDLE_US)
+  else if (now_us - connection->last_message_at_us > PEER_IDLE_TIMEOUT_US)
     {
       pcn_close (connection, NULL);
     }
-  else if (now_us - connection->sent_at_us >= hub->heartbeat_us)
+  else if (now_us - connection->last_sent_at_us >= hub->heartbeat_interval_us)
     {
       pcn_heartbeat (connection);
     }
@@ -159,13 +164,14 @@
   const int64_t now_us = clk_monotonic_us ();
   for (guint i = 0; i < hub->connections->len; i++)
     {
-      check_connection (hub, hub->connections->pdata[i], now_us);
+      check_timeouts (hub, hub->connections->pdata[i], now_us);
     }
-  drop_closed (hub);
+  remove_closed_connections (hub);
   return G_SOURCE_CONTINUE;
 }
 
-/* Listens at ADDRESS; sets the hub's socket and port.  */
+/* Listens on ADDRESS, IP:PORT; sets the hub's socket and port.  Errors:
+   ERR_SETTINGS.  */
 static bool
 start_listening (struct peer_hub *hub, const char *address, GError **error)
 {
@@ -175,7 +181,7 @@
   if (!adr_parse (address, &local, &size))
     {
       g_set_error (error, ERR_DOMAIN, ERR_SETTINGS,
-                   "peer address %s: not IP:PORT", address);
+                   "invalid peer address %s: expected IP:PORT", address);
       return false;
     }
   hub->fd = socket (local.ss_family,
@@ -186,31 +192,37 @@
       || bind (hub->fd, (struct sockaddr *)&local, size) != 0
       || listen (hub->fd, LISTEN_BACKLOG) != 0)
     {
-      g_set_error (error, ERR_DOMAIN, ERR_SETTINGS, "peer address %s: %s",
-                   address, g_strerror (errno));
+      g_set_error (error, ERR_DOMAIN, ERR_SETTINGS,
+                   "can't listen on peer address %s: %s", address,
+                   g_strerror (errno));
       return false;
     }
-  hub->port = adr_port_of (hub->fd);
+  hub->port = adr_bound_port (hub->fd);
   return true;
 }
 
+/* Adds the sources of the listening socket and of the timer for heartbeats and
+   timeouts to the main loop.  */
 static void
 attach_sources (struct peer_hub *hub)
 {
   const int64_t interval_us
-      = MIN (hub->silence_us / CHECKS_PER_SILENCE, hub->heartbeat_us);
-  hub->acceptable = g_unix_fd_source_new (hub->fd, G_IO_IN);
-  g_source_set_callback (hub->acceptable, G_SOURCE_FUNC (on_acceptable), hub,
-                         NULL);
-  g_source_attach (hub->acceptable, hub->context);
-  hub->timer = g_timeout_source_new ((guint)MAX (interval_us / CLK_MS_US, 1));
-  g_source_set_callback (hub->timer, on_timer, hub, NULL);
-  g_source_attach (hub->timer, hub->context);
+      = MIN (hub->receive_timeout_us / CHECKS_PER_RECEIVE_TIMEOUT,
+             hub->heartbeat_interval_us);
+  hub->accept_source = g_unix_fd_source_new (hub->fd, G_IO_IN);
+  g_source_set_callback (hub->accept_source, G_SOURCE_FUNC (on_accept_ready),
+                         hub, NULL);
+  g_source_attach (hub->accept_source, hub->context);
+  hub->timer_source
+      = g_timeout_source_new ((guint)MAX (interval_us / CLK_MS_US, 1));
+  g_source_set_callback (hub->timer_source, on_timer, hub, NULL);
+  g_source_attach (hub->timer_source, hub->context);
 }
 
-/* Listens for peers on the loop of CONTEXT, where all calls and callbacks of
-   the hub belong.  Copies SETTINGS and CALLBACKS.  Errors: ERR_SETTINGS when
-   the address can't be used.  */
+/* Creates a hub that listens for peers on the main loop of CONTEXT.  All calls
+   of the hub must be made on the thread of that loop, which also runs the
+   callbacks.  Copies SETTINGS and CALLBACKS.  Returns NULL with ERR_SETTINGS
+   when the address is invalid or can't be listened on.  */
 struct peer_hub *
 peer_hub_create (GMainContext *context, const struct peer_settings *settings,
                  const struct peer_callbacks *callbacks, void *user_data,
@@ -223,10 +235,12 @@
     .callbacks = *callbacks,
     .user_data = user_data,
     .connections = g_ptr_array_new_with_free_func ((GDestroyNotify)pcn_unref),
-    .heartbeat_us
-    = settings->heartbeat_us != 0 ? settings->heartbeat_us : PEER_HEARTBEAT_US,
-    .silence_us
-    = settings->silence_us != 0 ? settings->silence_us : PEER_SILENCE_US,
+    .heartbeat_interval_us = settings->heartbeat_interval_us != 0
+                                 ? settings->heartbeat_interval_us
+                                 : PEER_HEARTBEAT_INTERVAL_US,
+    .receive_timeout_us = settings->receive_timeout_us != 0
+                              ? settings->receive_timeout_us
+                              : PEER_RECEIVE_TIMEOUT_US,
     .connections_max = settings->connections_max != 0
                            ? settings->connections_max
                            : PEER_CONNECTIONS_MAX,
@@ -239,7 +253,7 @@
       peer_hub_destroy (hub);
       return NULL;
     }
-  hub->self.address = adr_with_port (settings->address, hub->port);
+  hub->self.address = adr_replace_port (settings->address, hub->port);
   hub->connection_callbacks
       = (struct pcn_callbacks){ .on_open = on_open,
                                 .on_envelope = on_envelope };
@@ -264,8 +278,8 @@
     }
 }
 
-/* Closes all connections and frees HUB; NULL is allowed.  Not from within a
-   callback of the hub.  */
+/* Closes all connections and frees HUB; NULL is allowed.  Must not be called
+   from a callback of the hub.  */
 void
 peer_hub_destroy (struct peer_hub *hub)
 {
@@ -273,8 +287,8 @@
     {
       return;
     }
-  destroy_source (hub->acceptable);
-  destroy_source (hub->timer);
+  destroy_source (hub->accept_source);
+  destroy_source (hub->timer_source);
   g_ptr_array_free (hub->connections, TRUE);
   if (hub->fd >= 0)
     {
@@ -287,7 +301,10 @@
   g_free (hub);
 }
 
-/* Returns the best connection to ADDRESS: an open one before others.  */
+/* Returns a connection to the daemon at ADDRESS, or NULL: an open one if there
+   is one, otherwise one that this daemon is dialling.  Incoming connections
+   count only once they are open, as their address isn't authenticated
+   before.  */
 static struct pcn_connection *
 find_connection (struct peer_hub *hub, const char *address)
 {
@@ -307,9 +324,10 @@
   return found;
 }
 
-/* Sends ENVELOPE to the daemon at ADDRESS, IP:PORT, over a new connection when
-   there is none.  There is no word on whether it arrived.  A message to a
-   connection whose queue is full is dropped.  */
+/* Sends ENVELOPE to the daemon at ADDRESS, IP:PORT; dials if there is no
+   connection.  Delivery isn't confirmed.  The message is dropped if more than
+   PEER_QUEUE_BYTES_MAX bytes are already queued for the connection or if the
+   address can't be dialled.  */
 void
 peer_hub_send (struct peer_hub *hub, const char *address,
                const Peer__Envelope *envelope)
@@ -317,7 +335,7 @@
   struct pcn_connection *connection = find_connection (hub, address);
   if (connection == NULL)
     {
-      make_room (hub);
+      ensure_free_slot (hub);
       connection = pcn_dial (&hub->params, address);
       if (connection == NULL)
         {
@@ -327,7 +345,7 @@
       hub->stats.dialled += 1;
       g_ptr_array_add (hub->connections, connection);
     }
-  if (pcn_waiting_bytes (connection) > PEER_QUEUE_BYTES_MAX)
+  if (pcn_queued_bytes (connection) > PEER_QUEUE_BYTES_MAX)
     {
       hub->stats.dropped += 1;
       return;
@@ -335,21 +353,21 @@
   pcn_send (connection, envelope);
 }
 
-/* Returns the port that HUB listens at.  */
+/* Returns the port that HUB listens on.  */
 uint16_t
 peer_hub_port (const struct peer_hub *hub)
 {
   return hub->port;
 }
 
-/* Returns where peers reach HUB, IP:PORT.  */
+/* Returns the address at which peers reach HUB, IP:PORT; owned by HUB.  */
 const char *
 peer_hub_address (const struct peer_hub *hub)
 {
   return hub->self.address;
 }
 
-/* Returns HUB's counts.  */
+/* Returns the counts of HUB, including those of its current connections.  */
 struct peer_stats
 peer_hub_stats (const struct peer_hub *hub)
 {
--- a/test/peer_test.c
+++ b/test/peer_test.c
@@ -111,7 +111,7 @@
 has_found_silence (const void *data)
 {
   const struct node *node = data;
-  return peer_hub_stats (node->hub).silent > 0;
+  return peer_hub_stats (node->hub).timed_out > 0;
 }
 
 static void
@@ -240,8 +240,8 @@
                                        .address = "127.0.0.1:0",
                                        .secret = "secret",
                                        .incarnation = 1,
-                                       .heartbeat_us = 20 * CLK_MS_US,
-                                       .silence_us = 200 * CLK_MS_US };
+                                       .heartbeat_interval_us = 20 * CLK_MS_US,
+                                       .receive_timeout_us = 200 * CLK_MS_US };
   struct node a;
   start_with (&a, &quick);
   send_version (&a, peer_hub_address (b.hub), 1);
@@ -284,8 +284,8 @@
               .address = "127.0.0.1:0",
               .secret = "secret",
               .incarnation = 1,
-              .heartbeat_us = 20 * CLK_MS_US,
-              .silence_us = 2 * CLK_S_US };
+              .heartbeat_interval_us = 20 * CLK_MS_US,
+              .receive_timeout_us = 2 * CLK_S_US };
       start_with (&nodes[i], &settings);
     }
   send_version (&nodes[0], peer_hub_address (nodes[1].hub), 1);
@@ -293,7 +293,7 @@
   const int64_t end_us = clk_monotonic_us () + 3 * CLK_S_US;
   run_until (has_outlived_the_bound, &end_us);
   assert_int_equal (peer_hub_stats (nodes[0].hub).open, 1);
-  assert_int_equal (peer_hub_stats (nodes[0].hub).silent, 0);
+  assert_int_equal (peer_hub_stats (nodes[0].hub).timed_out, 0);
   peer_hub_destroy (nodes[0].hub);
   peer_hub_destroy (nodes[1].hub);
 }
