--- a/src/endpoint/canceller.c
+++ b/src/endpoint/canceller.c
@@ -5,28 +5,28 @@
 #include <pthread.h>
 #include <stdbool.h>
 
-#define THREADS 2
-#define QUEUE_MAX 4096
+#define THREAD_COUNT 2
+#define QUEUED_CANCELS_MAX 4096
 
 struct can_canceller
 {
-  GAsyncQueue *queue; /* struct job */
-  pthread_t threads[THREADS];
+  GAsyncQueue *queue; /* struct cancel, owned */
+  pthread_t threads[THREAD_COUNT];
 };
 
-struct job
+struct cancel
 {
-  struct ept_endpoint *endpoint; /* NULL: the thread ends */
+  struct ept_endpoint *endpoint; /* NULL: tells a thread to exit */
   char *request;
   uint32_t attempt;
 };
 
 static void
-destroy_job (gpointer data)
+destroy_cancel (gpointer data)
 {
-  struct job *job = data;
-  g_free (job->request);
-  g_free (job);
+  struct cancel *cancel = data;
+  g_free (cancel->request);
+  g_free (cancel);
 }
 
 static void *
@@ -36,31 +36,33 @@
   bool running = true;
   while (running)
     {
-      struct job *job = g_async_queue_pop (canceller->queue);
-      running = job->endpoint != NULL;
+      struct cancel *cancel = g_async_queue_pop (canceller->queue);
+      running = cancel->endpoint != NULL;
       if (running)
         {
-          eng_cancel (job->endpoint->pool, job->request, job->attempt);
+          eng_cancel (cancel->endpoint->pool, cancel->request,
+                      cancel->attempt);
         }
-      destroy_job (job);
+      destroy_cancel (cancel);
     }
   return NULL;
 }
 
-/* Creates the canceller and its threads.  */
+/* Creates a canceller and starts its threads.  */
 struct can_canceller *
 can_create (void)
 {
   struct can_canceller *canceller = g_new0 (struct can_canceller, 1);
-  canceller->queue = g_async_queue_new_full (destroy_job);
-  for (int i = 0; i < THREADS; i++)
+  canceller->queue = g_async_queue_new_full (destroy_cancel);
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
       pthread_create (&canceller->threads[i], NULL, run_thread, canceller);
     }
   return canceller;
 }
 
-/* Sends what is queued, then ends the threads and frees CANCELLER.  */
+/* Sends the queued cancels, stops the threads and frees CANCELLER; NULL is
+   allowed.  Blocks until all of that is done.  */
 void
 can_destroy (struct can_canceller *canceller)
 {
@@ -68,11 +70,11 @@
     {
       return;
     }
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
-      g_async_queue_push (canceller->queue, g_new0 (struct job, 1));
+      g_async_queue_push (canceller->queue, g_new0 (struct cancel, 1));
     }
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
       pthread_join (canceller->threads[i], NULL);
     }
@@ -80,20 +82,21 @@
   g_free (canceller);
 }
 
-/* Queues a cancel.  A cancel is an economy, not a promise: over 4096 waiting
-   ones a further one is dropped, and the engine drops the stream by its own
-   limits.  */
+/* Queues a cancel of ATTEMPT of REQUEST, to be sent to ENDPOINT, which must
+   outlive CANCELLER.  Doesn't block.  Cancels only save work and aren't
+   guaranteed to be sent: when QUEUED_CANCELS_MAX are queued, further ones are
+   dropped, and the engine drops the stream according to its own limits.  */
 void
 can_cancel (struct can_canceller *canceller, struct ept_endpoint *endpoint,
             const char *request, uint32_t attempt)
 {
-  if (g_async_queue_length (canceller->queue) >= QUEUE_MAX)
+  if (g_async_queue_length (canceller->queue) >= QUEUED_CANCELS_MAX)
     {
       return;
     }
-  struct job *job = g_new0 (struct job, 1);
-  job->endpoint = endpoint;
-  job->request = g_strdup (request);
-  job->attempt = attempt;
-  g_async_queue_push (canceller->queue, job);
+  struct cancel *cancel = g_new0 (struct cancel, 1);
+  cancel->endpoint = endpoint;
+  cancel->request = g_strdup (request);
+  cancel->attempt = attempt;
+  g_async_queue_push (canceller->queue, cancel);
 }
--- a/src/endpoint/canceller.h
+++ b/src/endpoint/canceller.h
@@ -1,4 +1,6 @@
-/* Tells engines to drop streams, away from the traffic threads. */
+/* Sends cancels to engines on threads of its own, so that traffic threads
+   don't wait for the answers.  A cancel makes an engine drop the stream of an
+   attempt whose result is no longer needed. */
 #ifndef ENDPOINT_CANCELLER_H
 #define ENDPOINT_CANCELLER_H
 
--- a/src/endpoint/connection.c
+++ b/src/endpoint/connection.c
@@ -6,18 +6,19 @@
 #include <pthread.h>
 #include <string.h>
 
-#define IDLE_MAX 64
+#define IDLE_CONNECTIONS_MAX 64
 #define BODY_BYTES_MAX ((size_t)16 * 1024 * 1024)
-#define CONNECT_TIMEOUT_US INT64_C (250000)
+#define CONNECT_TIMEOUT_US INT64_C (250000) /* default */
 
 struct con_pool
 {
   char *base_url;
   pthread_mutex_t lock;
-  GPtrArray *idle; /* CURL *, each with one open connection */
+  GPtrArray *idle; /* CURL *, each with one open connection; guarded by LOCK */
 };
 
-/* Creates the pool of connections to BASE_URL, `http://IP:PORT'.  */
+/* Creates an empty pool of connections to the server at BASE_URL,
+   `http://IP:PORT'.  */
 struct con_pool *
 con_pool_create (const char *base_url)
 {
@@ -28,7 +29,8 @@
   return pool;
 }
 
-/* Closes every idle connection and frees POOL; no call may be under way.  */
+/* Closes the idle connections and frees POOL; NULL is allowed.  No call of the
+   pool may be in progress.  */
 void
 con_pool_destroy (struct con_pool *pool)
 {
@@ -42,8 +44,10 @@
   g_free (pool);
 }
 
+/* Returns an idle connection, or a new handle if there is none or if
+   NEW_CONNECTION is set.  Returns NULL when libcurl fails to create one.  */
 static CURL *
-take_connection (struct con_pool *pool, bool new_connection)
+acquire_connection (struct con_pool *pool, bool new_connection)
 {
   CURL *curl = NULL;
   if (!new_connection)
@@ -59,11 +63,13 @@
   return curl != NULL ? curl : curl_easy_init ();
 }
 
+/* Puts CURL back into the pool, or closes it when IDLE_CONNECTIONS_MAX are
+   idle.  */
 static void
-give_back_connection (struct con_pool *pool, CURL *curl)
+release_connection (struct con_pool *pool, CURL *curl)
 {
   pthread_mutex_lock (&pool->lock);
-  bool kept = pool->idle->len < IDLE_MAX;
+  bool kept = pool->idle->len < IDLE_CONNECTIONS_MAX;
   if (kept)
     {
       g_ptr_array_add (pool->idle, curl);
@@ -75,8 +81,10 @@
     }
 }
 
+/* Callback of libcurl: appends a part of the body.  Returns 0, which aborts
+   the call, when the body exceeds BODY_BYTES_MAX.  */
 static size_t
-take_body (char *data, size_t size, size_t count, void *user_data)
+on_body (char *data, size_t size, size_t count, void *user_data)
 {
   struct con_answer *answer = user_data;
   size_t bytes = size * count;
@@ -88,8 +96,9 @@
   return bytes;
 }
 
+/* Callback of libcurl for each header line.  */
 static size_t
-take_header (char *data, size_t size, size_t count, void *user_data)
+on_header (char *data, size_t size, size_t count, void *user_data)
 {
   static const char not_run[] = "x-not-run: true";
   struct con_answer *answer = user_data;
@@ -103,7 +112,7 @@
 }
 
 static enum err_kind
-kind_of_result (CURLcode result)
+result_to_error (CURLcode result)
 {
   switch (result)
     {
@@ -148,7 +157,7 @@
   int64_t connect_us = call->connect_timeout_us != 0 ? call->connect_timeout_us
                                                      : CONNECT_TIMEOUT_US;
   int64_t timeout_ms = MAX (call->timeout_us / CLK_MS_US, 1);
-  curl_easy_reset (curl); /* keeps the open connection */
+  curl_easy_reset (curl); /* keeps the connection open */
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (curl, CURLOPT_PROXY, "");
@@ -163,14 +172,14 @@
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
   curl_easy_setopt (curl, CURLOPT_CONNECTTIMEOUT_MS,
                     (long)MIN (MAX (connect_us / CLK_MS_US, 1), timeout_ms));
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, on_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, answer);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, on_header);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, answer);
 }
 
 static void
-read_answer (CURL *curl, struct con_answer *answer)
+read_status_and_type (CURL *curl, struct con_answer *answer)
 {
   long status = 0;
   const char *content_type = NULL;
@@ -181,8 +190,8 @@
              sizeof answer->content_type);
 }
 
-/* Returns whether a byte of the call may have left: a request size of 0 means
-   that the connection was never made.  */
+/* Returns whether any part of the request may have been sent.  A request size
+   of 0 means that no connection was established.  */
 static bool
 may_have_sent (CURL *curl, CURLcode result)
 {
@@ -191,20 +200,20 @@
   return result == CURLE_OK || request_bytes > 0;
 }
 
-/* Runs CALL and fills ANSWER, whose body the caller frees with
-   con_answer_clear in every case.  Blocks for at most the call's timeout.  A
-   call on a connection that was never used before is sent at most once.
-   Returns ERR_NONE whatever the status, ERR_ENDPOINT_SILENT on a timeout,
-   ERR_ENDPOINT_FAILED when the connection failed.  The connection of a failed
-   call is closed, and so is one that was opened for this call alone: callers
-   that never use an open one would pile up idle ones.  */
+/* Sends CALL and stores the response in ANSWER, which the caller clears with
+   con_answer_clear whatever the result.  Blocks for at most the timeout of
+   CALL.  With new_connection, the request is sent at most once.  Returns
+   ERR_NONE for a response of any status, ERR_ENDPOINT_SILENT on a timeout, and
+   ERR_ENDPOINT_FAILED on any other failure.  The connection is closed after a
+   failure.  It is also closed if CALL asked for a new one, because callers
+   that always do so would fill the pool with connections that nobody uses.  */
 enum err_kind
 con_call_run (struct con_pool *pool, const struct con_call *call,
               struct con_answer *answer)
 {
   memset (answer, 0, sizeof *answer);
   answer->body = g_string_new (NULL);
-  CURL *curl = take_connection (pool, call->new_connection);
+  CURL *curl = acquire_connection (pool, call->new_connection);
   if (curl == NULL)
     {
       return ERR_ENDPOINT_FAILED;
@@ -213,21 +222,21 @@
   set_options (curl, pool, call, headers, answer);
   CURLcode result = curl_easy_perform (curl);
   answer->maybe_sent = may_have_sent (curl, result);
-  read_answer (curl, answer);
+  read_status_and_type (curl, answer);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, NULL);
   curl_slist_free_all (headers);
   if (result == CURLE_OK && !call->new_connection)
     {
-      give_back_connection (pool, curl);
+      release_connection (pool, curl);
     }
   else
     {
       curl_easy_cleanup (curl);
     }
-  return kind_of_result (result);
+  return result_to_error (result);
 }
 
-/* Frees the body of ANSWER.  */
+/* Frees the body of ANSWER; may be called again.  */
 void
 con_answer_clear (struct con_answer *answer)
 {
--- a/src/endpoint/connection.h
+++ b/src/endpoint/connection.h
@@ -1,4 +1,5 @@
-/* HTTP connections to one server, kept open between calls. */
+/* HTTP client with a pool of connections to one server, which are kept open
+   between calls.  A pool may be used by several threads at once. */
 #ifndef ENDPOINT_CONNECTION_H
 #define ENDPOINT_CONNECTION_H
 
@@ -10,27 +11,29 @@
 
 struct con_pool;
 
+/* An HTTP request. */
 struct con_call
 {
   const char *method;
   const char *path; /* with the query */
   const char *body; /* NULL: none */
   size_t body_bytes;
-  const char *content_type; /* NULL: application/json */
-  const char *request_id;   /* NULL: no X-Request-Id */
-  const char *bearer;       /* NULL: no Authorization */
-  int64_t timeout_us;
-  int64_t connect_timeout_us; /* 0: the default */
-  bool new_connection;        /* use one that was never used before */
+  const char *content_type;   /* NULL: application/json */
+  const char *request_id;     /* NULL: no X-Request-Id */
+  const char *bearer;         /* NULL: no Authorization */
+  int64_t timeout_us;         /* of the whole call */
+  int64_t connect_timeout_us; /* 0: 250 ms */
+  bool new_connection;        /* don't reuse a connection */
 };
 
+/* An HTTP response. */
 struct con_answer
 {
-  uint16_t status;
-  bool not_run;    /* the header X-Not-Run: true */
-  bool maybe_sent; /* a byte of the call may have left */
-  char content_type[64];
-  GString *body; /* owned by the caller of con_call_run */
+  uint16_t status;       /* 0: none was received */
+  bool not_run;          /* with the header X-Not-Run: true */
+  bool maybe_sent;       /* part of the request may have been sent */
+  char content_type[64]; /* "": none */
+  GString *body;         /* freed by con_answer_clear */
 };
 
 struct con_pool *con_pool_create (const char *base_url);
--- a/src/endpoint/endpoint.c
+++ b/src/endpoint/endpoint.c
@@ -5,7 +5,7 @@
 
 struct ept_table
 {
-  GHashTable *endpoints; /* "HOST ADDRESS" to struct ept_endpoint */
+  GHashTable *endpoints; /* "HOST ADDRESS" to struct ept_endpoint, owned */
 };
 
 static void
@@ -18,7 +18,7 @@
   g_free (endpoint);
 }
 
-/* Creates an empty table.  Only the control thread adds to it.  */
+/* Creates an empty table.  Only the control thread may add endpoints.  */
 struct ept_table *
 ept_table_create (void)
 {
@@ -28,7 +28,8 @@
   return table;
 }
 
-/* Frees TABLE and its endpoints; no traffic thread may hold one.  */
+/* Frees TABLE and its endpoints; NULL is allowed.  Traffic threads must no
+   longer use the endpoints.  */
 void
 ept_table_destroy (struct ept_table *table)
 {
@@ -40,9 +41,9 @@
   g_free (table);
 }
 
-/* Returns the endpoint of HOST at ADDRESS (IP:PORT), added at need.  A host
-   that moved to another address is another endpoint with counters of its
-   own.  */
+/* Returns the endpoint of HOST at ADDRESS, IP:PORT, which is added if TABLE
+   doesn't contain it.  When a host moves to another address, a separate
+   endpoint with its own counters is added.  */
 struct ept_endpoint *
 ept_get (struct ept_table *table, const char *host, const char *address)
 {
@@ -60,7 +61,7 @@
   return endpoint;
 }
 
-/* Returns the endpoint that LOAD is part of.  */
+/* Returns the endpoint that contains LOAD.  */
 struct ept_endpoint *
 ept_of_load (struct ld_load *load)
 {
--- a/src/endpoint/endpoint.h
+++ b/src/endpoint/endpoint.h
@@ -1,5 +1,6 @@
-/* The endpoints that this daemon has met, by host name and address.  They live
-   as long as the table, so that traffic threads may keep pointers. */
+/* The table of the endpoints known to this daemon, by host name and address.
+   Endpoints are freed together with the table only, so that traffic threads
+   may keep pointers to them. */
 #ifndef ENDPOINT_ENDPOINT_H
 #define ENDPOINT_ENDPOINT_H
 
@@ -11,10 +12,11 @@
 struct ept_endpoint
 {
   struct ld_load load;
-  char *host;
-  char *address;
+  char *host;    /* name */
+  char *address; /* IP:PORT */
   struct con_pool *pool;
-  int64_t polled_us;   /* control thread only */
+  int64_t polled_us;   /* monotonic time of the last poll of the load;
+                          control thread only */
   bool poll_in_flight; /* control thread only */
 };
 
--- a/src/endpoint/engine.c
+++ b/src/endpoint/engine.c
@@ -6,16 +6,17 @@
 #include <string.h>
 
 #define CANCEL_TIMEOUT_US (500 * CLK_MS_US)
-#define ALIVE_TIMEOUT_US (300 * CLK_MS_US)
+#define PROBE_TIMEOUT_US (300 * CLK_MS_US)
 #define LOAD_TIMEOUT_US (300 * CLK_MS_US)
 #define ORDER_TIMEOUT_US (2 * CLK_S_US)
 
-/* The `kind' of an engine's error answer, and what it means here. */
+/* The field `kind' of an engine's error response, and the kind of error that
+   it stands for. */
 static const struct
 {
   const char *name;
   enum err_kind kind;
-} engine_errors[] = {
+} error_kinds[] = {
   { "bad_request", ERR_BAD_REQUEST },
   { "not_found", ERR_NOT_FOUND },
   { "out_of_order", ERR_OUT_OF_ORDER },
@@ -24,24 +25,25 @@
   { "no_capacity", ERR_NO_CAPACITY },
 };
 
-/* Returns the kind of an error answer, ERR_ENDPOINT_FAILED for one that is
-   not of the interface.  */
+/* Returns the kind of the error response BODY, or ERR_ENDPOINT_FAILED if the
+   interface doesn't define its kind.  */
 static enum err_kind
-kind_of_error_answer (const json_t *body)
+parse_error_kind (const json_t *body)
 {
   const char *name = json_string_value (json_object_get (body, "kind"));
-  for (size_t i = 0; name != NULL && i < G_N_ELEMENTS (engine_errors); i++)
+  for (size_t i = 0; name != NULL && i < G_N_ELEMENTS (error_kinds); i++)
     {
-      if (strcmp (engine_errors[i].name, name) == 0)
+      if (strcmp (error_kinds[i].name, name) == 0)
         {
-          return engine_errors[i].kind;
+          return error_kinds[i].kind;
         }
     }
   return ERR_ENDPOINT_FAILED;
 }
 
-/* Runs one call and sets BODY to its JSON body, owned by the caller; NULL
-   unless ERR_NONE or an error answer of the interface came.  */
+/* Sends CALL and sets BODY to the JSON body of the response, owned by the
+   caller, or to NULL if there is none.  Errors: as con_call_run, the kind of
+   an error response, ERR_PROTOCOL when the response isn't a JSON object.  */
 static enum err_kind
 run_json_call (struct con_pool *pool, const struct con_call *call,
                json_t **body)
@@ -54,7 +56,7 @@
       *body = json_loadb (answer.body->str, answer.body->len, 0, NULL);
       if (answer.status != 200)
         {
-          error = kind_of_error_answer (*body);
+          error = parse_error_kind (*body);
         }
       else if (!json_is_object (*body))
         {
@@ -65,6 +67,8 @@
   return error;
 }
 
+/* Sends REQUEST, whose reference it takes, with a POST to PATH.  BODY and
+   errors as run_json_call.  */
 static enum err_kind
 post_json (struct con_pool *pool, const char *path, json_t *request,
            int64_t timeout_us, bool new_connection, json_t **body)
@@ -120,7 +124,7 @@
 }
 
 static void
-read_step_answer (const json_t *body, struct eng_step_answer *answer)
+parse_step_answer (const json_t *body, struct eng_step_answer *answer)
 {
   const json_t *load = json_object_get (body, "load");
   answer->activation
@@ -134,7 +138,7 @@
   answer->leaving = json_is_true (json_object_get (load, "leaving"));
 }
 
-/* Returns true when BODY names STEP as the one that it answers.  */
+/* Returns true when BODY is the answer to STEP and not to another one.  */
 static bool
 is_answer_to (const json_t *body, const struct eng_step *step)
 {
@@ -145,11 +149,12 @@
          && get_integer (body, "first") == step->first;
 }
 
-/* Runs STEP and fills ANSWER, freed with eng_step_answer_clear in every case.
-   Repeating a step is safe.  Errors: ERR_ENDPOINT_SILENT, ERR_ENDPOINT_FAILED
-   (also for an answer to another step, so that this one is asked again),
-   ERR_ENDPOINT_REFUSED and ERR_NO_CAPACITY (did not run), ERR_OUT_OF_ORDER,
-   ERR_NOT_FOUND, ERR_BAD_REQUEST, ERR_PROTOCOL.  */
+/* Has the engine compute STEP and sets ANSWER, which the caller clears with
+   eng_step_answer_clear whatever the result.  A step may safely be sent again.
+   Errors: ERR_ENDPOINT_SILENT, ERR_ENDPOINT_FAILED (also for the answer to
+   another step, so that the caller sends STEP again), ERR_ENDPOINT_REFUSED and
+   ERR_NO_CAPACITY (the step did not run), ERR_OUT_OF_ORDER, ERR_NOT_FOUND,
+   ERR_BAD_REQUEST, ERR_PROTOCOL.  */
 enum err_kind
 eng_step_run (struct con_pool *pool, const struct eng_step *step,
               struct eng_step_answer *answer)
@@ -159,7 +164,7 @@
   enum err_kind error
       = post_json (pool, "/v1/step", step_to_json (step), step->timeout_us,
                    step->new_connection, &body);
-  read_step_answer (body, answer);
+  parse_step_answer (body, answer);
   if (error == ERR_NONE && !is_answer_to (body, step))
     {
       error = ERR_ENDPOINT_FAILED;
@@ -172,7 +177,7 @@
   return error;
 }
 
-/* Frees what ANSWER owns.  */
+/* Frees the strings of ANSWER; may be called again.  */
 void
 eng_step_answer_clear (struct eng_step_answer *answer)
 {
@@ -182,8 +187,9 @@
   answer->text = NULL;
 }
 
-/* Has the engine drop ATTEMPT of REQUEST in every range.  Errors: as
-   con_call_run.  */
+/* Has the engine drop the streams of ATTEMPT of REQUEST in all its ranges.
+   Blocks for at most 500 ms.  Errors: as con_call_run, the kind of an
+   error response, ERR_PROTOCOL.  */
 enum err_kind
 eng_cancel (struct con_pool *pool, const char *request, uint32_t attempt)
 {
@@ -196,9 +202,10 @@
   return error;
 }
 
-/* Reads an array of ranges to OUT and returns their number.  */
+/* Reads the JSON array RANGES into OUT and returns the number of ranges read;
+   those beyond SNAP_RANGES_MAX are ignored.  */
 static uint32_t
-read_ranges (const json_t *ranges, struct eng_range out[SNAP_RANGES_MAX])
+parse_ranges (const json_t *ranges, struct eng_range out[SNAP_RANGES_MAX])
 {
   size_t index;
   const json_t *item;
@@ -218,7 +225,8 @@
   return count;
 }
 
-/* Reads the engine's load report.  Errors: as con_call_run, ERR_PROTOCOL.  */
+/* Requests the engine's load report and stores it in LOAD.  Blocks for at most
+   300 ms.  Errors: as con_call_run, ERR_PROTOCOL.  */
 enum err_kind
 eng_load_get (struct con_pool *pool, struct eng_load *load)
 {
@@ -238,23 +246,23 @@
       load->leaving = json_is_true (json_object_get (body, "leaving"));
       load->fence = (uint64_t)get_integer (body, "fence");
       load->range_count
-          = read_ranges (json_object_get (body, "ranges"), load->ranges);
+          = parse_ranges (json_object_get (body, "ranges"), load->ranges);
       load->loading_count
-          = read_ranges (json_object_get (body, "loading"), load->loading);
+          = parse_ranges (json_object_get (body, "loading"), load->loading);
     }
   json_decref (body);
   return error;
 }
 
-/* Returns whether the engine answers a load report soon, on a connection that
-   was never used before.  */
+/* Returns whether the engine answers a request for its load report within
+   300 ms.  Uses a new connection.  */
 bool
 eng_is_alive (struct con_pool *pool)
 {
   struct con_call call = {
     .method = "GET",
     .path = "/v1/load",
-    .timeout_us = ALIVE_TIMEOUT_US,
+    .timeout_us = PROBE_TIMEOUT_US,
     .new_connection = true,
   };
   json_t *body = NULL;
@@ -263,8 +271,9 @@
   return error == ERR_NONE;
 }
 
-/* Sends ORDER.  Errors: as con_call_run, ERR_STALE_FENCE when the engine has
-   seen a newer fencing number, ERR_ENDPOINT_REFUSED, ERR_PROTOCOL.  */
+/* Sends ORDER to the engine.  Blocks for at most 2 s.  Errors: as
+   con_call_run, ERR_STALE_FENCE when the engine has received an order with a
+   higher fencing token, ERR_ENDPOINT_REFUSED, ERR_PROTOCOL.  */
 enum err_kind
 eng_order_send (struct con_pool *pool, const struct eng_order *order)
 {
--- a/src/endpoint/service.c
+++ b/src/endpoint/service.c
@@ -2,9 +2,11 @@
 
 #include "base/clock.h"
 
-/* Sends CALL once, on a connection that was never used before, so that the
-   library never sends it again.  ANSWER is freed with con_answer_clear in
-   every case.  */
+/* Sends CALL to ENDPOINT at most once, on a new connection: libcurl may send a
+   request again if it fails on a reused connection.  Blocks for at most the
+   timeout of CALL.  A response with status 5xx leaves open whether the call
+   ran, unless the status is 503 and the header X-Not-Run says that it didn't.
+   The caller frees ANSWER with con_answer_clear whatever the result.  */
 enum svc_result
 svc_run_once (struct ept_endpoint *endpoint, const struct svc_call *call,
               struct con_answer *answer)
--- a/src/peer/connection.c
+++ b/src/peer/connection.c
@@ -16,8 +16,7 @@
 static gboolean on_readable (gint fd, GIOCondition condition, gpointer data);
 static gboolean on_writable (gint fd, GIOCondition condition, gpointer data);
 
-/* Makes the main loop call FUNCTION whenever CONDITION holds for the socket.
- */
+/* Makes the main loop call FUNCTION whenever the socket meets CONDITION.  */
 static GSource *
 watch (struct pcn_connection *connection, GIOCondition condition,
        GUnixFDSourceFunc function)
