--- a/test/frame_test.c
+++ b/test/frame_test.c
@@ -1,3 +1,5 @@
+/* Tests of peer/frame: streams of complete, truncated, oversized and malformed
+   frames, received in pieces of any size, and reading what was packed.  */
 #include "peer/frame.h"
 
 #include <setjmp.h>
@@ -8,51 +10,52 @@
 #include <cmocka.h>
 
 #define LENGTH(table) (sizeof (table) / sizeof (table)[0])
-#define BYTES_MAX 64
+#define ENVELOPE_BYTES_MAX 64
 
 struct stream
 {
   const char *name;
   const char *bytes;
   size_t size;
-  uint32_t frames; /* complete ones before the end */
-  enum frm_status end;
+  uint32_t frames;        /* complete frames that can be read */
+  enum frm_status status; /* after these frames */
 };
 
 #define STREAM(text) (text), sizeof (text) - 1
 
 static const struct stream streams[] = {
-  { "nothing", STREAM (""), 0, FRM_INCOMPLETE },
+  { "empty stream", STREAM (""), 0, FRM_INCOMPLETE },
   { "part of a length", STREAM ("\0\0\0"), 0, FRM_INCOMPLETE },
-  { "length alone", STREAM ("\0\0\0\x05"), 0, FRM_INCOMPLETE },
+  { "length only", STREAM ("\0\0\0\x05"), 0, FRM_INCOMPLETE },
   { "part of a frame", STREAM ("\0\0\0\x05\x6a"), 0, FRM_INCOMPLETE },
   { "empty frame", STREAM ("\0\0\0\0"), 1, FRM_INCOMPLETE },
   { "heartbeat", STREAM ("\0\0\0\x02\x1a\x00"), 1, FRM_INCOMPLETE },
-  { "heartbeats", STREAM ("\0\0\0\x02\x1a\0\0\0\0\x02\x1a\0"), 2,
+  { "two heartbeats", STREAM ("\0\0\0\x02\x1a\0\0\0\0\x02\x1a\0"), 2,
     FRM_INCOMPLETE },
   { "unknown body", STREAM ("\0\0\0\x04\xfa\x7f\x01\x61"), 1, FRM_INCOMPLETE },
   { "unknown field in a known body", STREAM ("\0\0\0\x05\x1a\x03\xf8\x07\x01"),
     1, FRM_INCOMPLETE },
-  { "largest", STREAM ("\0\0\0\x40"), 0, FRM_INCOMPLETE },
-  { "one byte too many", STREAM ("\0\0\0\x41"), 0, FRM_OVERSIZED },
-  { "huge", STREAM ("\xff\xff\xff\xff"), 0, FRM_OVERSIZED },
-  { "text", STREAM ("GET / HTTP/1.1\r\n\r\n"), 0, FRM_OVERSIZED },
-  { "length beyond the frame", STREAM ("\0\0\0\x02\x1a\x7f"), 0,
+  { "length at the limit", STREAM ("\0\0\0\x40"), 0, FRM_INCOMPLETE },
+  { "length over the limit by one", STREAM ("\0\0\0\x41"), 0, FRM_OVERSIZED },
+  { "largest length", STREAM ("\xff\xff\xff\xff"), 0, FRM_OVERSIZED },
+  { "HTTP request", STREAM ("GET / HTTP/1.1\r\n\r\n"), 0, FRM_OVERSIZED },
+  { "field longer than the frame", STREAM ("\0\0\0\x02\x1a\x7f"), 0,
     FRM_MALFORMED },
-  { "endless number",
+  { "varint of more than ten bytes",
     STREAM ("\0\0\0\x0b\xff\xff\xff\xff\xff\xff\xff\xff"
             "\xff\xff\xff"),
     0, FRM_MALFORMED },
   { "wrong wire type", STREAM ("\0\0\0\x02\x18\x01"), 0, FRM_MALFORMED },
-  { "fault behind a frame", STREAM ("\0\0\0\x02\x1a\0\0\0\0\x01\x1a"), 1,
-    FRM_MALFORMED },
+  { "malformed frame after a valid one",
+    STREAM ("\0\0\0\x02\x1a\0\0\0\0\x01\x1a"), 1, FRM_MALFORMED },
 };
 
-/* Reads a stream that comes CHUNK bytes at a time.  */
+/* Reads STREAM, received CHUNK bytes at a time, and checks the number of
+   frames and the last status.  */
 static void
 read_stream (const struct stream *stream, size_t chunk)
 {
-  struct frm_reader *reader = frm_reader_create (BYTES_MAX);
+  struct frm_reader *reader = frm_reader_create (ENVELOPE_BYTES_MAX);
   uint32_t frames = 0;
   enum frm_status status = FRM_INCOMPLETE;
   for (size_t start = 0; start < stream->size && status == FRM_INCOMPLETE;
@@ -72,7 +75,7 @@
         }
       while (status == FRM_COMPLETE);
     }
-  if (status != stream->end || frames != stream->frames)
+  if (status != stream->status || frames != stream->frames)
     {
       fail_msg ("%s, %zu bytes at a time: %u frames, then %s", stream->name,
                 chunk, frames, frm_status_name (status));
@@ -81,7 +84,7 @@
 }
 
 static void
-streams_in_any_pieces (void **state)
+streams_are_read_in_pieces_of_any_size (void **state)
 {
   (void)state;
   for (size_t i = 0; i < LENGTH (streams); i++)
@@ -93,12 +96,14 @@
     }
 }
 
-/* Found by the fuzzer: the buffer of a new reader has no address yet.  */
+/* A reader that hasn't received any bytes must return FRM_INCOMPLETE.  Its
+   buffer has no address yet; the fuzzer found that frm_next must not use it.
+ */
 static void
-a_new_reader_waits (void **state)
+a_new_reader_is_incomplete (void **state)
 {
   (void)state;
-  struct frm_reader *reader = frm_reader_create (BYTES_MAX);
+  struct frm_reader *reader = frm_reader_create (ENVELOPE_BYTES_MAX);
   Peer__Envelope *envelope;
   assert_int_equal (frm_next (reader, &envelope), FRM_INCOMPLETE);
   frm_push (reader, (const uint8_t *)"", 0);
@@ -107,7 +112,7 @@
 }
 
 static void
-an_envelope_comes_back (void **state)
+packed_envelopes_are_read_back (void **state)
 {
   (void)state;
   Peer__ConfigReply reply = PEER__CONFIG_REPLY__INIT;
@@ -139,9 +144,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (streams_in_any_pieces),
-    cmocka_unit_test (a_new_reader_waits),
-    cmocka_unit_test (an_envelope_comes_back),
+    cmocka_unit_test (streams_are_read_in_pieces_of_any_size),
+    cmocka_unit_test (a_new_reader_is_incomplete),
+    cmocka_unit_test (packed_envelopes_are_read_back),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/peer_test.c
+++ b/test/peer_test.c
@@ -1,3 +1,5 @@
+/* Tests of peer/hub: hubs on one main loop that connect to each other over
+   loopback, and plain sockets that send invalid data to a hub.  */
 #include "base/clock.h"
 #include "peer/hub.h"
 
@@ -14,18 +16,18 @@
 
 #define LENGTH(table) (sizeof (table) / sizeof (table)[0])
 
-#define LARGE_BYTES (UINT32_C (3) << 20)
+#define LARGE_BYTES (UINT32_C (3) << 20) /* below FRM_BYTES_MAX */
 
-/* No test waits that long unless it fails. */
-#define PATIENCE_US (20 * CLK_S_US)
+/* A test fails when a condition isn't met within this time. */
+#define CONDITION_TIMEOUT_US (20 * CLK_S_US)
 
-/* One hub and what it was told. */
+/* A hub and the messages that it has received. */
 struct node
 {
   struct peer_hub *hub;
   uint32_t messages;
-  uint64_t last_version;
-  char sender[64];
+  uint64_t last_version; /* of the last ConfigRequest */
+  char sender[64];       /* name; of the last message */
 };
 
 static void
@@ -73,6 +75,7 @@
   peer_hub_send (from->hub, to, &envelope);
 }
 
+/* Timer that makes an iteration of the main loop return without an event.  */
 static gboolean
 wake_up (gpointer data)
 {
@@ -80,18 +83,19 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Runs the main loop until HOLDS says so; fails after PATIENCE_US. */
+/* Runs the main loop until CONDITION returns true for DATA; fails after
+   CONDITION_TIMEOUT_US.  */
 static void
-run_until (bool (*holds) (const void *), const void *data)
+run_until (bool (*condition) (const void *), const void *data)
 {
-  const int64_t end_us = clk_monotonic_us () + PATIENCE_US;
+  const int64_t end_us = clk_monotonic_us () + CONDITION_TIMEOUT_US;
   const guint timer = g_timeout_add (5, wake_up, NULL);
-  while (!holds (data) && clk_monotonic_us () < end_us)
+  while (!condition (data) && clk_monotonic_us () < end_us)
     {
       g_main_context_iteration (NULL, TRUE);
     }
   g_source_remove (timer);
-  assert_true (holds (data));
+  assert_true (condition (data));
 }
 
 static bool
@@ -108,14 +112,14 @@
 }
 
 static bool
-has_found_silence (const void *data)
+has_timed_out (const void *data)
 {
   const struct node *node = data;
   return peer_hub_stats (node->hub).timed_out > 0;
 }
 
 static void
-messages_go_both_ways_on_one_connection (void **state)
+one_connection_carries_messages_both_ways (void **state)
 {
   (void)state;
   struct node a;
@@ -137,7 +141,7 @@
 }
 
 static void
-a_wrong_secret_is_refused (void **state)
+wrong_secrets_are_rejected (void **state)
 {
   (void)state;
   static const struct
@@ -159,7 +163,7 @@
     }
 }
 
-/* Connects a plain socket to NODE. */
+/* Returns a plain socket that is connected to NODE's hub.  */
 static int
 connect_to (const struct node *node)
 {
@@ -172,6 +176,7 @@
   return fd;
 }
 
+/* The first bytes on a connection, which the hub must reject. */
 struct rejected
 {
   const char *name;
@@ -184,15 +189,16 @@
     name, (text), sizeof (text) - 1                                           \
   }
 
-/* Each one closes its connection with one line and harms no other. */
+/* An invalid first frame closes its connection, is counted and logged once,
+   and doesn't affect other connections.  */
 static void
-bad_first_frames_close_the_connection (void **state)
+invalid_first_frames_close_the_connection (void **state)
 {
   (void)state;
   static const struct rejected cases[] = {
     REJECTED ("oversized", "\x7f\xff\xff\xff"),
-    REJECTED ("over the bound before the hello", "\0\0\x10\x01"),
-    REJECTED ("text", "GET / HTTP/1.1\r\n\r\n"),
+    REJECTED ("over the limit before the hello", "\0\0\x10\x01"),
+    REJECTED ("HTTP request", "GET / HTTP/1.1\r\n\r\n"),
     REJECTED ("malformed", "\0\0\0\x02\x0a\x7f"),
     REJECTED ("heartbeat before hello", "\0\0\0\x02\x1a\0"),
     REJECTED ("empty envelope", "\0\0\0\0"),
@@ -200,8 +206,8 @@
     REJECTED ("hello without nonce", "\0\0\0\x04\x0a\x02\x08\x01"),
     REJECTED ("membership before hello", "\0\0\0\x02\x52\0"),
   };
-  struct node good;
-  start (&good, "entry-b", "secret");
+  struct node other;
+  start (&other, "entry-b", "secret");
   for (size_t i = 0; i < LENGTH (cases); i++)
     {
       struct node node;
@@ -213,67 +219,71 @@
       char byte;
       const ssize_t got = read (fd, &byte, 1);
       assert_true (got == 0 || (got < 0 && errno == ECONNRESET));
-      send_version (&good, peer_hub_address (node.hub), i);
+      send_version (&other, peer_hub_address (node.hub), i);
       run_until (has_message, &node);
       assert_int_equal (peer_hub_stats (node.hub).rejected, 1);
       close (fd);
       peer_hub_destroy (node.hub);
     }
-  peer_hub_destroy (good.hub);
+  peer_hub_destroy (other.hub);
 }
 
-/* A hub that never runs is as silent as a connection whose other end was
-   forgotten; a new connection works.  */
+/* A connection from whose other end nothing is received times out, and a new
+   connection can be opened afterwards.  The main loop of the other hub isn't
+   run during the timeout, so that the hub sends no heartbeats, as if its host
+   had vanished.  */
 static void
-a_silent_connection_is_abandoned (void **state)
+a_connection_without_data_times_out (void **state)
 {
   (void)state;
-  GMainContext *frozen = g_main_context_new ();
+  GMainContext *other_context = g_main_context_new ();
   const struct peer_callbacks callbacks = { .on_message = on_message };
   const struct peer_settings settings = { .name = "entry-b",
                                           .address = "127.0.0.1:0",
                                           .secret = "secret",
                                           .incarnation = 1 };
   struct node b = { 0 };
-  b.hub = peer_hub_create (frozen, &settings, &callbacks, &b, NULL);
-  const struct peer_settings quick = { .name = "entry-a",
-                                       .address = "127.0.0.1:0",
-                                       .secret = "secret",
-                                       .incarnation = 1,
-                                       .heartbeat_interval_us = 20 * CLK_MS_US,
-                                       .receive_timeout_us = 200 * CLK_MS_US };
+  b.hub = peer_hub_create (other_context, &settings, &callbacks, &b, NULL);
+  const struct peer_settings short_timeouts
+      = { .name = "entry-a",
+          .address = "127.0.0.1:0",
+          .secret = "secret",
+          .incarnation = 1,
+          .heartbeat_interval_us = 20 * CLK_MS_US,
+          .receive_timeout_us = 200 * CLK_MS_US };
   struct node a;
-  start_with (&a, &quick);
+  start_with (&a, &short_timeouts);
   send_version (&a, peer_hub_address (b.hub), 1);
   while (b.messages == 0)
     {
       g_main_context_iteration (NULL, FALSE);
-      g_main_context_iteration (frozen, FALSE);
+      g_main_context_iteration (other_context, FALSE);
     }
-  run_until (has_found_silence, &a);
+  run_until (has_timed_out, &a);
   assert_int_equal (peer_hub_stats (a.hub).open, 0);
   send_version (&a, peer_hub_address (b.hub), 2);
   while (b.last_version != 2)
     {
       g_main_context_iteration (NULL, FALSE);
-      g_main_context_iteration (frozen, FALSE);
+      g_main_context_iteration (other_context, FALSE);
     }
   assert_int_equal (peer_hub_stats (a.hub).dialled, 2);
   peer_hub_destroy (a.hub);
   peer_hub_destroy (b.hub);
-  g_main_context_unref (frozen);
+  g_main_context_unref (other_context);
 }
 
-/* Heartbeats alone keep a connection past the bound on silence. */
 static bool
-has_outlived_the_bound (const void *data)
+is_past (const void *data)
 {
   const int64_t *end_us = data;
   return clk_monotonic_us () > *end_us;
 }
 
+/* With nothing but heartbeats, a connection stays open longer than the receive
+   timeout.  */
 static void
-heartbeats_keep_a_connection (void **state)
+heartbeats_keep_a_connection_open (void **state)
 {
   (void)state;
   struct node nodes[2];
@@ -291,7 +301,7 @@
   send_version (&nodes[0], peer_hub_address (nodes[1].hub), 1);
   run_until (has_message, &nodes[1]);
   const int64_t end_us = clk_monotonic_us () + 3 * CLK_S_US;
-  run_until (has_outlived_the_bound, &end_us);
+  run_until (is_past, &end_us);
   assert_int_equal (peer_hub_stats (nodes[0].hub).open, 1);
   assert_int_equal (peer_hub_stats (nodes[0].hub).timed_out, 0);
   peer_hub_destroy (nodes[0].hub);
@@ -299,39 +309,41 @@
 }
 
 static void
-connections_are_bounded (void **state)
+the_number_of_connections_is_limited (void **state)
 {
   (void)state;
   enum
   {
-    OTHERS = 6,
-    BOUND = 3
+    PEERS = 6,
+    LIMIT = 3
   };
   const struct peer_settings settings = { .name = "entry-a",
                                           .address = "127.0.0.1:0",
                                           .secret = "secret",
                                           .incarnation = 1,
-                                          .connections_max = BOUND };
+                                          .connections_max = LIMIT };
   struct node a;
-  struct node others[OTHERS];
+  struct node peers[PEERS];
   start_with (&a, &settings);
-  for (int i = 0; i < OTHERS; i++)
+  for (int i = 0; i < PEERS; i++)
     {
-      start (&others[i], "entry-b", "secret");
-      send_version (&a, peer_hub_address (others[i].hub), 1);
-      run_until (has_message, &others[i]);
-      assert_in_range (peer_hub_stats (a.hub).open, 1, BOUND);
+      start (&peers[i], "entry-b", "secret");
+      send_version (&a, peer_hub_address (peers[i].hub), 1);
+      run_until (has_message, &peers[i]);
+      assert_in_range (peer_hub_stats (a.hub).open, 1, LIMIT);
     }
-  assert_int_equal (peer_hub_stats (a.hub).dialled, OTHERS);
+  assert_int_equal (peer_hub_stats (a.hub).dialled, PEERS);
   peer_hub_destroy (a.hub);
-  for (int i = 0; i < OTHERS; i++)
+  for (int i = 0; i < PEERS; i++)
     {
-      peer_hub_destroy (others[i].hub);
+      peer_hub_destroy (peers[i].hub);
     }
 }
 
+/* At the limit, connections that haven't finished the handshake are closed
+   before that of a peer.  */
 static void
-strangers_do_not_push_out_peers (void **state)
+unauthenticated_clients_do_not_evict_peers (void **state)
 {
   (void)state;
   const struct peer_settings settings = { .name = "entry-a",
@@ -345,26 +357,26 @@
   start (&b, "entry-b", "secret");
   send_version (&b, peer_hub_address (a.hub), 1);
   run_until (has_message, &a);
-  int strangers[5];
-  for (size_t i = 0; i < LENGTH (strangers); i++)
+  int clients[5];
+  for (size_t i = 0; i < LENGTH (clients); i++)
     {
-      strangers[i] = connect_to (&a);
+      clients[i] = connect_to (&a);
       while (peer_hub_stats (a.hub).accepted < i + 2)
         {
           g_main_context_iteration (NULL, FALSE);
         }
     }
   assert_int_equal (peer_hub_stats (a.hub).open, 1);
-  for (size_t i = 0; i < LENGTH (strangers); i++)
+  for (size_t i = 0; i < LENGTH (clients); i++)
     {
-      close (strangers[i]);
+      close (clients[i]);
     }
   peer_hub_destroy (a.hub);
   peer_hub_destroy (b.hub);
 }
 
 static void
-a_large_message_arrives_whole (void **state)
+large_messages_are_delivered (void **state)
 {
   (void)state;
   struct node a;
@@ -385,7 +397,7 @@
 }
 
 static void
-bad_addresses_are_refused (void **state)
+invalid_addresses_are_rejected (void **state)
 {
   (void)state;
   static const char *const addresses[] = { "",
@@ -411,15 +423,15 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (messages_go_both_ways_on_one_connection),
-    cmocka_unit_test (a_wrong_secret_is_refused),
-    cmocka_unit_test (bad_first_frames_close_the_connection),
-    cmocka_unit_test (a_silent_connection_is_abandoned),
-    cmocka_unit_test (heartbeats_keep_a_connection),
-    cmocka_unit_test (connections_are_bounded),
-    cmocka_unit_test (strangers_do_not_push_out_peers),
-    cmocka_unit_test (a_large_message_arrives_whole),
-    cmocka_unit_test (bad_addresses_are_refused),
+    cmocka_unit_test (one_connection_carries_messages_both_ways),
+    cmocka_unit_test (wrong_secrets_are_rejected),
+    cmocka_unit_test (invalid_first_frames_close_the_connection),
+    cmocka_unit_test (a_connection_without_data_times_out),
+    cmocka_unit_test (heartbeats_keep_a_connection_open),
+    cmocka_unit_test (the_number_of_connections_is_limited),
+    cmocka_unit_test (unauthenticated_clients_do_not_evict_peers),
+    cmocka_unit_test (large_messages_are_delivered),
+    cmocka_unit_test (invalid_addresses_are_rejected),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/shared_peer_test.c
+++ b/test/shared_peer_test.c
@@ -1,4 +1,5 @@
-/* Hubs on threads of their own share nothing but log lines. */
+/* Hubs on separate threads, each with a main loop of its own, send messages to
+   each other.  Guards against data races: hubs share only the log.  */
 #include "peer/hub.h"
 
 #include <pthread.h>
@@ -9,17 +10,17 @@
 
 #include <cmocka.h>
 
-#define THREADS 3
-#define MESSAGES 50
+#define THREAD_COUNT 3
+#define MESSAGE_COUNT 50
 
 struct worker
 {
   pthread_t thread;
   GMainContext *context;
   struct peer_hub *hub;
-  const char *next; /* address of the next worker's hub */
+  const char *next_address; /* of the next worker's hub */
   uint32_t received;
-  _Atomic uint32_t *finished;
+  _Atomic uint32_t *finished; /* number of workers that have received all */
 };
 
 static void
@@ -32,6 +33,9 @@
   worker->received++;
 }
 
+/* Sends the messages to the next worker and receives those of the previous
+   one.  Runs the main loop until all workers have finished, so that the
+   messages that are still queued are sent.  */
 static void *
 run_worker (void *data)
 {
@@ -40,16 +44,16 @@
   Peer__Envelope envelope = PEER__ENVELOPE__INIT;
   envelope.body_case = PEER__ENVELOPE__BODY_CONFIG_REQUEST;
   envelope.config_request = &request;
-  for (int i = 0; i < MESSAGES; i++)
+  for (int i = 0; i < MESSAGE_COUNT; i++)
     {
-      peer_hub_send (worker->hub, worker->next, &envelope);
+      peer_hub_send (worker->hub, worker->next_address, &envelope);
     }
-  while (worker->received < MESSAGES)
+  while (worker->received < MESSAGE_COUNT)
     {
       g_main_context_iteration (worker->context, FALSE);
     }
   atomic_fetch_add (worker->finished, 1);
-  while (atomic_load (worker->finished) < THREADS)
+  while (atomic_load (worker->finished) < THREAD_COUNT)
     {
       g_main_context_iteration (worker->context, FALSE);
     }
@@ -57,17 +61,17 @@
 }
 
 static void
-hubs_on_threads_talk (void **state)
+hubs_on_separate_threads_exchange_messages (void **state)
 {
   (void)state;
-  struct worker workers[THREADS] = { 0 };
+  struct worker workers[THREAD_COUNT] = { 0 };
   _Atomic uint32_t finished = 0;
   const struct peer_callbacks callbacks = { .on_message = on_message };
   const struct peer_settings settings = { .name = "entry-a",
                                           .address = "127.0.0.1:0",
                                           .secret = "secret",
                                           .incarnation = 1 };
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
       workers[i].context = g_main_context_new ();
       workers[i].finished = &finished;
@@ -75,21 +79,22 @@
                                         &callbacks, &workers[i], NULL);
       assert_non_null (workers[i].hub);
     }
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
-      workers[i].next = peer_hub_address (workers[(i + 1) % THREADS].hub);
+      workers[i].next_address
+          = peer_hub_address (workers[(i + 1) % THREAD_COUNT].hub);
     }
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
       pthread_create (&workers[i].thread, NULL, run_worker, &workers[i]);
     }
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
       pthread_join (workers[i].thread, NULL);
     }
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     {
-      assert_int_equal (workers[i].received, MESSAGES);
+      assert_int_equal (workers[i].received, MESSAGE_COUNT);
       peer_hub_destroy (workers[i].hub);
       g_main_context_unref (workers[i].context);
     }
@@ -99,7 +104,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (hubs_on_threads_talk),
+    cmocka_unit_test (hubs_on_separate_threads_exchange_messages),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
