--- a/src/endpoint/connection.c
+++ b/src/endpoint/connection.c
@@ -96,7 +96,7 @@
   return bytes;
 }
 
-/* Callback of libcurl for each header line.  */
+/* Callback of libcurl for each header line: looks for X-Not-Run.  */
 static size_t
 on_header (char *data, size_t size, size_t count, void *user_data)
 {
@@ -125,6 +125,9 @@
     }
 }
 
+/* Returns the headers of CALL, to be freed with curl_slist_free_all.  The
+   empty `Expect' keeps libcurl from waiting for a response 100 before it sends
+   the body.  */
 static struct curl_slist *
 make_headers (const struct con_call *call)
 {
--- a/src/endpoint/engine.c
+++ b/src/endpoint/engine.c
@@ -67,8 +67,8 @@
   return error;
 }
 
-/* Sends REQUEST, whose reference it takes, with a POST to PATH.  BODY and
-   errors as run_json_call.  */
+/* Sends REQUEST, whose reference it takes, with a POST to PATH.  Sets BODY and
+   returns errors as run_json_call does.  */
 static enum err_kind
 post_json (struct con_pool *pool, const char *path, json_t *request,
            int64_t timeout_us, bool new_connection, json_t **body)
@@ -88,6 +88,8 @@
   return error;
 }
 
+/* Returns the body of the request for STEP: the activation for a range after
+   the first, else the last token, or for step 0 the prompt and all tokens.  */
 static json_t *
 step_to_json (const struct eng_step *step)
 {
@@ -123,6 +125,7 @@
   return json_integer_value (json_object_get (object, key));
 }
 
+/* Sets ANSWER from BODY; missing fields are set to NULL, 0 or false.  */
 static void
 parse_step_answer (const json_t *body, struct eng_step_answer *answer)
 {
--- a/src/peer/hub.c
+++ b/src/peer/hub.c
@@ -13,7 +13,7 @@
 #include <unistd.h>
 
 #define LISTEN_BACKLOG 64
-#define CHECKS_PER_RECEIVE_TIMEOUT 8 /* at least */
+#define CHECKS_PER_RECEIVE_TIMEOUT 8 /* runs of the timer, at least */
 
 struct peer_hub
 {
