--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -3,13 +3,14 @@
 #include <pthread.h>
 #include <stdatomic.h>
 
-/* Upper bounds of a histogram's buckets; one more bucket has no bound. */
+/* Inclusive upper bounds of the buckets of every histogram.  One more bucket,
+   without an upper bound, counts longer durations. */
 static const int64_t bucket_bounds_us[] = {
   1000,   2000,   5000,    10000,   20000,   50000,    100000,
   200000, 500000, 1000000, 2000000, 5000000, 10000000, 20000000,
 };
 
-#define BUCKETS (G_N_ELEMENTS (bucket_bounds_us) + 1)
+#define BUCKET_COUNT (G_N_ELEMENTS (bucket_bounds_us) + 1)
 
 struct cnt_series
 {
@@ -18,7 +19,7 @@
   char *labels;
   const char *help;
   _Atomic int64_t value;    /* of a histogram: sum, in microseconds */
-  _Atomic int64_t *buckets; /* of a histogram: BUCKETS counts; else NULL */
+  _Atomic int64_t *buckets; /* BUCKET_COUNT counts; NULL: no histogram */
 };
 
 static const char *const type_names[] = {
@@ -43,7 +44,8 @@
   g_free (series);
 }
 
-/* Creates an empty set.  */
+/* Creates an empty set of series, which the caller frees with
+   cnt_set_destroy.  */
 struct cnt_set *
 cnt_set_create (void)
 {
@@ -53,7 +55,7 @@
   return set;
 }
 
-/* Frees SET and every series of it.  */
+/* Frees SET and all its series.  SET may be NULL.  */
 void
 cnt_set_destroy (struct cnt_set *set)
 {
@@ -66,9 +68,10 @@
   g_free (set);
 }
 
-/* Returns the series of SET with NAME and LABELS (`a="b",c="d"' or ""),
-   created at need.  HELP is static.  Keep the pointer: the look-up locks and
-   scans.  Thread-safe.  */
+/* Returns the series of SET with NAME and LABELS (`a="b",c="d"' or ""), and
+   creates it if it does not exist.  HELP is static.  Callers keep the pointer,
+   which is valid until cnt_set_destroy, because the look-up takes a lock and
+   scans all series.  Thread-safe.  */
 struct cnt_series *
 cnt_series (struct cnt_set *set, enum cnt_type type, const char *name,
             const char *labels, const char *help)
@@ -98,7 +101,8 @@
 }
 
 /* Returns the histogram of durations of SET with NAME, which ends in
-   `_seconds', and LABELS, created at need.  Thread-safe.  */
+   `_seconds', and LABELS, and creates it if it does not exist.  HELP is
+   static.  Thread-safe.  */
 struct cnt_series *
 cnt_histogram (struct cnt_set *set, const char *name, const char *labels,
                const char *help)
@@ -108,13 +112,13 @@
   pthread_mutex_lock (&set->lock);
   if (series->buckets == NULL)
     {
-      series->buckets = g_malloc0 (BUCKETS * sizeof *series->buckets);
+      series->buckets = g_malloc0 (BUCKET_COUNT * sizeof *series->buckets);
     }
   pthread_mutex_unlock (&set->lock);
   return series;
 }
 
-/* Counts DURATION_US in HISTOGRAM.  Thread-safe, without a lock.  */
+/* Records DURATION_US in HISTOGRAM.  Thread-safe and lock-free.  */
 void
 cnt_observe_us (struct cnt_series *histogram, int64_t duration_us)
 {
@@ -129,30 +133,31 @@
   cnt_add (histogram, duration_us);
 }
 
-/* Adds AMOUNT to SERIES.  Thread-safe, without a lock.  */
+/* Adds AMOUNT to SERIES.  Thread-safe and lock-free.  */
 void
 cnt_add (struct cnt_series *series, int64_t amount)
 {
   atomic_fetch_add_explicit (&series->value, amount, memory_order_relaxed);
 }
 
-/* Sets a gauge to VALUE.  */
+/* Sets SERIES, a gauge, to VALUE.  Thread-safe and lock-free.  */
 void
 cnt_put (struct cnt_series *series, int64_t value)
 {
   atomic_store_explicit (&series->value, value, memory_order_relaxed);
 }
 
-/* Returns the value of SERIES.  */
+/* Returns the value of SERIES; of a histogram, the sum of its durations in
+   microseconds.  Thread-safe and lock-free.  */
 int64_t
 cnt_get (const struct cnt_series *series)
 {
   return atomic_load_explicit (&series->value, memory_order_relaxed);
 }
 
-/* Returns true when an earlier series of SET has the name of series INDEX.  */
+/* Returns whether a series of SET before series INDEX has the same name.  */
 static gboolean
-name_seen (const struct cnt_set *set, guint index)
+has_earlier_name (const struct cnt_set *set, guint index)
 {
   const struct cnt_series *series = g_ptr_array_index (set->series, index);
   for (guint i = 0; i < index; i++)
@@ -166,13 +171,14 @@
   return FALSE;
 }
 
-/* Appends the buckets, sum and count of SERIES, a histogram.  */
+/* Appends the buckets, sum and count of SERIES, a histogram, to OUT.  The
+   bounds and the sum are written in seconds.  */
 static void
 render_histogram (const struct cnt_series *series, GString *out)
 {
   int64_t count = 0;
   const char *comma = series->labels[0] == '\0' ? "" : ",";
-  for (size_t i = 0; i < BUCKETS; i++)
+  for (size_t i = 0; i < BUCKET_COUNT; i++)
     {
       count
           += atomic_load_explicit (&series->buckets[i], memory_order_relaxed);
@@ -195,7 +201,7 @@
                           series->name, open, series->labels, close, count);
 }
 
-/* Appends every series named NAME to OUT.  */
+/* Appends every series of SET named NAME to OUT.  */
 static void
 render_family (const struct cnt_set *set, const char *name, GString *out)
 {
@@ -221,8 +227,8 @@
     }
 }
 
-/* Appends SET to OUT in the text exposition format, one family after the
-   other.  */
+/* Appends SET to OUT in the Prometheus text exposition format, grouped by
+   metric name as the format requires.  Thread-safe.  */
 void
 cnt_render (struct cnt_set *set, GString *out)
 {
@@ -230,7 +236,7 @@
   for (guint i = 0; i < set->series->len; i++)
     {
       const struct cnt_series *series = g_ptr_array_index (set->series, i);
-      if (name_seen (set, i))
+      if (has_earlier_name (set, i))
         {
           continue;
         }
--- a/src/base/counter.h
+++ b/src/base/counter.h
@@ -1,11 +1,15 @@
-/* Counters, gauges and histograms in the text exposition format. */
+/* Counters, gauges and histograms of durations, and their output in the
+   Prometheus text exposition format. */
 #ifndef BASE_COUNTER_H
 #define BASE_COUNTER_H
 
 #include <glib.h>
 #include <stdint.h>
 
+/* All series of a process. */
 struct cnt_set;
+
+/* One metric name with one set of labels. */
 struct cnt_series;
 
 enum cnt_type
