--- a/src/base/error.c
+++ b/src/base/error.c
@@ -1,5 +1,7 @@
 #include "base/error.h"
 
+/* The kinds' names and HTTP statuses are part of the API.  Entries leave out
+   `ran' when it is ERR_RAN_NO and `retry_after_s' when it is 0. */
 static const struct err_answer answers[ERR_KIND_COUNT] = {
   [ERR_NONE] = { .name = "none",
                  .http_status = 200,
@@ -29,7 +31,7 @@
   = { .name = "deadline_unmeetable",
       .http_status = 503,
       .retry_after_s = 2,
-      .summary = "the deadline cannot be met at the present load" },
+      .summary = "the deadline cannot be met at the current load" },
   [ERR_DEADLINE_EXCEEDED] = { .name = "deadline_exceeded",
                               .http_status = 504,
                               .retry_after_s = 1,
@@ -48,17 +50,17 @@
                             .http_status = 504,
                             .retry_after_s = 1,
                             .ran = ERR_RAN_UNKNOWN,
-                            .summary = "the endpoint did not answer" },
+                            .summary = "the endpoint did not respond" },
   [ERR_ENDPOINT_REFUSED] = { .name = "endpoint_refused",
                              .http_status = 503,
                              .retry_after_s = 1,
-                             .summary = "the endpoint refused the work" },
+                             .summary = "the endpoint refused the request" },
   [ERR_OUT_OF_ORDER] = { .name = "out_of_order",
                          .http_status = 409,
                          .summary = "the step is out of order" },
   [ERR_STALE_FENCE] = { .name = "stale_fence",
                         .http_status = 409,
-                        .summary = "the fencing number is old" },
+                        .summary = "the fencing number is stale" },
   [ERR_LOG_UNAVAILABLE] = { .name = "log_unavailable",
                             .http_status = 503,
                             .retry_after_s = 5,
@@ -67,21 +69,21 @@
                            .http_status = 503,
                            .retry_after_s = 5,
                            .ran = ERR_RAN_UNKNOWN,
-                           .summary = "the answer to an append was lost" },
+                           .summary = "the response to an append was lost" },
   [ERR_KEY_CONFLICT]
   = { .name = "key_conflict",
       .http_status = 422,
       .summary = "the idempotency key was used with another request" },
-  [ERR_KEY_UNKNOWN]
-  = { .name = "key_unknown",
-      .http_status = 409,
-      .ran = ERR_RAN_UNKNOWN,
-      .summary = "whether the call ran is unknown; an operator settles it" },
+  [ERR_KEY_UNKNOWN] = { .name = "key_unknown",
+                        .http_status = 409,
+                        .ran = ERR_RAN_UNKNOWN,
+                        .summary = "it is unknown whether the call ran; an "
+                                   "operator must settle the key" },
   [ERR_KEY_IN_PROGRESS] = { .name = "key_in_progress",
                             .http_status = 409,
                             .retry_after_s = 1,
                             .ran = ERR_RAN_UNKNOWN,
-                            .summary = "the call is under way" },
+                            .summary = "the call is in progress" },
   [ERR_KEY_EXPIRED] = { .name = "key_expired",
                         .http_status = 410,
                         .ran = ERR_RAN_UNKNOWN,
@@ -108,7 +110,7 @@
   [ERR_PROTOCOL] = { .name = "protocol",
                      .http_status = 502,
                      .ran = ERR_RAN_UNKNOWN,
-                     .summary = "a peer broke the protocol" },
+                     .summary = "a peer violated the protocol" },
   [ERR_SETTINGS] = { .name = "settings",
                      .http_status = 500,
                      .summary = "the settings are not valid" },
@@ -128,8 +130,8 @@
   return g_quark_from_static_string ("kumquatthread");
 }
 
-/* Returns the answer for KIND; a kind outside the list is answered as
-   ERR_INTERNAL.  The result is static.  */
+/* Returns the name, HTTP status and defaults of KIND, or those of ERR_INTERNAL
+   if KIND is out of range.  The result is static.  */
 const struct err_answer *
 err_answer (enum err_kind kind)
 {
@@ -140,7 +142,8 @@
   return &answers[kind];
 }
 
-/* Returns "no", "yes" or "unknown".  */
+/* Returns the value of the `ran' field of an error body: "no", "yes" or
+   "unknown".  */
 const char *
 err_ran_name (enum err_ran ran)
 {
@@ -173,8 +176,9 @@
   return (enum err_kind)error->code;
 }
 
-/* Fills FAILURE for KIND with the ran and retry-after of the table of answers.
-   MESSAGE NULL: the kind's summary.  */
+/* Sets FAILURE to KIND with the kind's defaults for `ran' and retry_after_s.
+   MESSAGE is truncated to ERR_MESSAGE_BYTES - 1 bytes; NULL stands for the
+   kind's summary.  */
 void
 err_fail (struct err_failure *failure, enum err_kind kind, const char *message)
 {
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,10 +1,12 @@
-/* The closed list of error kinds, and the answer that each one gives. */
+/* All error kinds, and for each the HTTP status, the retry advice and the
+   default message that callers receive. */
 #ifndef BASE_ERROR_H
 #define BASE_ERROR_H
 
 #include <glib.h>
 #include <stdint.h>
 
+/* What went wrong; the table in error.c describes each kind. */
 enum err_kind
 {
   ERR_NONE = 0,
@@ -40,7 +42,7 @@
   ERR_KIND_COUNT
 };
 
-/* Whether the work behind a request took effect. */
+/* Whether the requested work was executed. */
 enum err_ran
 {
   ERR_RAN_NO,
@@ -48,26 +50,28 @@
   ERR_RAN_UNKNOWN
 };
 
+/* What a caller receives for one error kind. */
 struct err_answer
 {
   const char *name; /* the `kind` field of an error body */
   uint16_t http_status;
-  enum err_ran ran;       /* default; the caller of err_answer may know more */
-  uint32_t retry_after_s; /* 0: waiting does not help */
-  const char *summary;
+  enum err_ran ran;       /* default; the code that fails may know more */
+  uint32_t retry_after_s; /* 0: a retry does not help */
+  const char *summary;    /* the default message */
 };
 
-#define ERR_MESSAGE_BYTES 160
+#define ERR_MESSAGE_BYTES 160 /* with the terminating NUL */
 
-/* A final answer other than ERR_NONE. */
+/* The error response to one request; KIND is never ERR_NONE. */
 struct err_failure
 {
   enum err_kind kind;
   enum err_ran ran;
-  uint32_t retry_after_s; /* 0: none */
+  uint32_t retry_after_s; /* 0: no Retry-After */
   char message[ERR_MESSAGE_BYTES];
 };
 
+/* The GError domain of this project; the codes are enum err_kind. */
 #define ERR_DOMAIN (err_domain ())
 
 GQuark err_domain (void);
--- a/src/base/http.c
+++ b/src/base/http.c
@@ -2,10 +2,12 @@
 
 #include <string.h>
 
+/* Size of one read of a request body. */
 #define READ_BYTES 16384
 
-/* Reads the whole body, of at most BYTES_MAX.  Returns NULL and sets FAILURE
-   to ERR_TOO_LARGE, or to ERR_BAD_REQUEST when the body broke off.  */
+/* Reads the whole request body, of at most BYTES_MAX bytes.  Returns the body,
+   owned by the caller, or NULL after setting FAILURE: ERR_TOO_LARGE, or
+   ERR_BAD_REQUEST when the connection ended before the body did.  */
 GString *
 http_read_body (struct mg_connection *connection, size_t bytes_max,
                 struct err_failure *failure)
@@ -17,51 +19,52 @@
       return NULL;
     }
   GString *body = g_string_new (NULL);
-  char part[READ_BYTES];
-  int bytes = mg_read (connection, part, sizeof part);
+  char chunk[READ_BYTES];
+  int bytes = mg_read (connection, chunk, sizeof chunk);
   while (bytes > 0 && body->len + (size_t)bytes <= bytes_max)
     {
-      g_string_append_len (body, part, bytes);
-      bytes = mg_read (connection, part, sizeof part);
+      g_string_append_len (body, chunk, bytes);
+      bytes = mg_read (connection, chunk, sizeof chunk);
     }
   bool too_large = bytes > 0;
-  bool broken = bytes < 0
-                || (info->content_length > 0
-                    && body->len < (size_t)info->content_length);
-  if (too_large || broken)
+  bool incomplete = bytes < 0
+                    || (info->content_length > 0
+                        && body->len < (size_t)info->content_length);
+  if (too_large || incomplete)
     {
       g_string_free (body, TRUE);
       err_fail (failure, too_large ? ERR_TOO_LARGE : ERR_BAD_REQUEST,
-                too_large ? NULL : "the body broke off");
+                too_large ? NULL : "the request body is incomplete");
       return NULL;
     }
   return body;
 }
 
 static const char *
-reason (uint16_t status)
+reason_phrase (uint16_t status)
 {
   return mg_get_response_code_text (NULL, status);
 }
 
-/* Sends a whole answer.  HEADERS: further lines, each ended by CRLF, or "". */
+/* Sends a whole response.  HEADERS: additional header lines, each ending in
+   CRLF, or "".  A failed write is ignored.  */
 void
 http_send (struct mg_connection *connection, uint16_t status,
            const char *content_type, const char *headers, const char *body,
            size_t body_bytes)
 {
-  GString *answer = g_string_sized_new (256 + body_bytes);
-  g_string_append_printf (answer,
+  GString *response = g_string_sized_new (256 + body_bytes);
+  g_string_append_printf (response,
                           "HTTP/1.1 %u %s\r\nContent-Type: %s\r\n"
                           "Content-Length: %zu\r\n%s\r\n",
-                          status, reason (status), content_type, body_bytes,
-                          headers);
-  g_string_append_len (answer, body, (gssize)body_bytes);
-  mg_write (connection, answer->str, answer->len);
-  g_string_free (answer, TRUE);
+                          status, reason_phrase (status), content_type,
+                          body_bytes, headers);
+  g_string_append_len (response, body, (gssize)body_bytes);
+  mg_write (connection, response->str, response->len);
+  g_string_free (response, TRUE);
 }
 
-/* Sends BODY as JSON.  */
+/* Sends BODY, which the caller keeps, as a JSON response.  */
 void
 http_send_json (struct mg_connection *connection, uint16_t status,
                 const json_t *body)
@@ -71,7 +74,7 @@
   free (text);
 }
 
-/* Returns the error body of FAILURE, owned by the caller.  */
+/* Returns the JSON body of the response to FAILURE, owned by the caller.  */
 json_t *
 http_failure_body (const struct err_failure *failure)
 {
@@ -87,8 +90,9 @@
   return json_pack ("{s:o}", "error", error);
 }
 
-/* Sends the answer of FAILURE, with Retry-After where waiting helps.  The body
-   of the request may be unread, so the connection is closed.  */
+/* Sends the error response for FAILURE, with Retry-After where a retry may
+   succeed.  Closes the connection, because part of the request body may be
+   unread.  */
 void
 http_send_failure (struct mg_connection *connection,
                    const struct err_failure *failure)
@@ -108,8 +112,9 @@
   json_decref (body);
 }
 
-/* Sets HEX to the SHA-256 of the request's bearer token.  Returns false when
-   there is none.  */
+/* Sets HEX, of HEX_BYTES bytes, to the SHA-256 of the request's bearer token
+   as hexadecimal digits.  Returns false when the request has no bearer
+   token.  */
 bool
 http_bearer_sha256 (struct mg_connection *connection, char *hex,
                     size_t hex_bytes)
--- a/src/base/http.h
+++ b/src/base/http.h
@@ -1,5 +1,5 @@
-/* What the handlers of one server share: reading requests and writing
-   answers. */
+/* Helpers for HTTP handlers: reading request bodies and bearer tokens, and
+   sending responses. */
 #ifndef BASE_HTTP_H
 #define BASE_HTTP_H
 
