--- a/src/base/log.c
+++ b/src/base/log.c
@@ -11,19 +11,26 @@
 #include <time.h>
 #include <unistd.h>
 
+/* Longest line, with the newline. */
 #define LINE_BYTES 1024
+
+/* Lines not yet written to standard output. */
 #define BUFFER_BYTES 65536
 
-/* A pipe that polls writable takes so much at once (PIPE_BUF). */
-#define WRITE_BYTES 4096
+/* Largest single write.  A pipe that poll reports as writable accepts this
+   many bytes (PIPE_BUF) without blocking. */
+#define WRITE_BYTES_MAX 4096
 
-/* Lines a second of one event, and how many may come at once. */
+/* Rate limit of the lines of one event: sustained lines per second, and the
+   largest burst in lines. */
 #define EVENT_LINES_PER_S 40
 #define EVENT_LINES_BURST 80
+
+/* Different events with a rate limit; lines of further events are dropped. */
 #define EVENTS_MAX 96
 
-/* Between two statements of how many lines of an event were dropped. */
-#define STATE_DROPPED_US CLK_S_US
+/* Least interval between two log_lines_dropped lines about one event. */
+#define DROP_REPORT_INTERVAL_US CLK_S_US
 
 static const char *const level_names[] = {
   [LOG_EMERG] = "emerg", [LOG_ALERT] = "alert",     [LOG_CRIT] = "crit",
@@ -31,47 +38,50 @@
   [LOG_INFO] = "info",   [LOG_DEBUG] = "debug",
 };
 
-/* The budget of one event's lines. */
-struct event_budget
+/* The rate limit of one event's lines, a token bucket. */
+struct event_bucket
 {
   const char *event; /* a literal, compared by address */
-  double lines;
-  int64_t filled_at_us;
-  uint64_t dropped; /* not yet stated */
-  int64_t stated_at_us;
+  double tokens;     /* lines that may be written now */
+  int64_t refilled_at_us;
+  uint64_t dropped; /* lines dropped since the last log_lines_dropped line */
+  int64_t reported_at_us; /* when the last such line was added */
 };
 
-/* The process has one standard output, so there is one log. */
+/* The state of the log.  It is global, as the process has one standard
+   output. */
 static struct
 {
   pthread_mutex_t lock;
   char buffer[BUFFER_BYTES];
-  size_t used;
-  struct event_budget budgets[EVENTS_MAX];
-  uint32_t budget_count;
-  uint64_t dropped;
+  size_t used; /* bytes of BUFFER */
+  struct event_bucket buckets[EVENTS_MAX];
+  uint32_t bucket_count;
+  uint64_t dropped; /* lines, since the start */
 } output = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
 static _Atomic int max_priority = LOG_INFO;
 static _Atomic bool is_buffered;
 
-/* Drops lines less severe than PRIORITY, one of the LOG_ values of
-   syslog.h.  */
+/* Discards all further lines that are less severe than PRIORITY, one of the
+   LOG_ values of syslog.h.  The default is LOG_INFO.  Thread-safe.  */
 void
 lg_set_level (int priority)
 {
   atomic_store (&max_priority, priority);
 }
 
-/* With BUFFERED, lines wait for lg_flush, which the caller then runs some
-   times a second.  */
+/* Sets whether lines stay in the buffer until lg_flush, which the caller then
+   must call several times a second.  By default, lg_line writes at once.
+   Thread-safe.  */
 void
 lg_set_buffered (bool buffered)
 {
   atomic_store (&is_buffered, buffered);
 }
 
-/* Returns the priority called NAME, or -1 when there is none.  */
+/* Returns the priority with NAME, as "warning", or -1 when no priority has
+   that name.  */
 int
 lg_parse_level (const char *name)
 {
@@ -85,76 +95,80 @@
   return -1;
 }
 
-/* Returns the budget of EVENT, or NULL when there are too many events.  */
-static struct event_budget *
-find_budget (const char *event, int64_t now_us)
+/* Returns the bucket of EVENT, which is created full, or NULL when EVENTS_MAX
+   other events have one.  */
+static struct event_bucket *
+find_bucket (const char *event, int64_t now_us)
 {
-  for (uint32_t i = 0; i < output.budget_count; i++)
+  for (uint32_t i = 0; i < output.bucket_count; i++)
     {
-      if (output.budgets[i].event == event)
+      if (output.buckets[i].event == event)
         {
-          return &output.budgets[i];
+          return &output.buckets[i];
         }
     }
-  if (output.budget_count == EVENTS_MAX)
+  if (output.bucket_count == EVENTS_MAX)
     {
       return NULL;
     }
-  struct event_budget *budget = &output.budgets[output.budget_count++];
-  *budget = (struct event_budget){
+  struct event_bucket *bucket = &output.buckets[output.bucket_count++];
+  *bucket = (struct event_bucket){
     .event = event,
-    .lines = EVENT_LINES_BURST,
-    .filled_at_us = now_us,
+    .tokens = EVENT_LINES_BURST,
+    .refilled_at_us = now_us,
   };
-  return budget;
+  return bucket;
 }
 
-/* Takes one line out of BUDGET.  Returns false when it is spent.  */
+/* Refills BUCKET and takes one line's token out.  Returns false when no token
+   is left.  */
 static bool
-take_line (struct event_budget *budget, int64_t now_us)
+take_token (struct event_bucket *bucket, int64_t now_us)
 {
-  budget->lines += (double)(now_us - budget->filled_at_us) * EVENT_LINES_PER_S
-                   / CLK_S_US;
-  budget->filled_at_us = now_us;
-  if (budget->lines > EVENT_LINES_BURST)
+  bucket->tokens += (double)(now_us - bucket->refilled_at_us)
+                    * EVENT_LINES_PER_S / CLK_S_US;
+  bucket->refilled_at_us = now_us;
+  if (bucket->tokens > EVENT_LINES_BURST)
     {
-      budget->lines = EVENT_LINES_BURST;
+      bucket->tokens = EVENT_LINES_BURST;
     }
-  if (budget->lines < 1)
+  if (bucket->tokens < 1)
     {
       return false;
     }
-  budget->lines -= 1;
+  bucket->tokens -= 1;
   return true;
 }
 
-/* Writes what the buffer holds as far as standard output takes it at once.  */
+/* Writes as much of the buffer as standard output accepts without blocking,
+   and keeps the rest.  */
 static void
 write_buffer (void)
 {
-  size_t done = 0;
-  while (done < output.used)
+  size_t written = 0;
+  while (written < output.used)
     {
       struct pollfd descriptor = { .fd = STDOUT_FILENO, .events = POLLOUT };
       if (poll (&descriptor, 1, 0) <= 0 || (descriptor.revents & POLLOUT) == 0)
         {
           break;
         }
-      size_t count = output.used - done;
-      ssize_t written
-          = write (STDOUT_FILENO, output.buffer + done,
-                   count > WRITE_BYTES ? (size_t)WRITE_BYTES : count);
-      if (written <= 0)
+      size_t count = output.used - written;
+      ssize_t result
+          = write (STDOUT_FILENO, output.buffer + written,
+                   count > WRITE_BYTES_MAX ? (size_t)WRITE_BYTES_MAX : count);
+      if (result <= 0)
         {
           break;
         }
-      done += (size_t)written;
+      written += (size_t)result;
     }
-  memmove (output.buffer, output.buffer + done, output.used - done);
-  output.used -= done;
+  memmove (output.buffer, output.buffer + written, output.used - written);
+  output.used -= written;
 }
 
-/* Appends a line of LENGTH bytes.  Returns false when there is no room.  */
+/* Appends LINE, of LENGTH bytes, to the buffer.  Returns false when the buffer
+   is full and standard output accepts no more.  */
 static bool
 append (const char *line, size_t length)
 {
@@ -171,63 +185,68 @@
   return true;
 }
 
-/* Formats `time=... level=... event=... ' into LINE.  Returns its length.  */
+/* Formats `time=... level=... event=... ' into LINE.  Returns the number of
+   bytes.  */
 static size_t
-format_start (char *line, size_t line_bytes, int priority, const char *event)
+format_prefix (char *line, size_t line_bytes, int priority, const char *event)
 {
   struct timespec now;
   struct tm parts;
-  char stamp[32];
+  char timestamp[32];
   clock_gettime (CLOCK_REALTIME, &now);
   gmtime_r (&now.tv_sec, &parts);
-  strftime (stamp, sizeof stamp, "%Y-%m-%dT%H:%M:%S", &parts);
-  int used
-      = snprintf (line, line_bytes, "time=%s.%03ldZ level=%s event=%s ", stamp,
-                  now.tv_nsec / 1000000, level_names[priority], event);
+  strftime (timestamp, sizeof timestamp, "%Y-%m-%dT%H:%M:%S", &parts);
+  int used = snprintf (line, line_bytes, "time=%s.%03ldZ level=%s event=%s ",
+                       timestamp, now.tv_nsec / 1000000, level_names[priority],
+                       event);
   return (size_t)used;
 }
 
-/* Says how many lines of BUDGET's event were dropped, if that is due.  */
+/* Adds a log_lines_dropped line with the number of dropped lines of BUCKET's
+   event, at most once per DROP_REPORT_INTERVAL_US.  */
 static void
-state_dropped (struct event_budget *budget, int64_t now_us)
+report_dropped (struct event_bucket *bucket, int64_t now_us)
 {
-  if (budget->dropped == 0 || now_us - budget->stated_at_us < STATE_DROPPED_US)
+  if (bucket->dropped == 0
+      || now_us - bucket->reported_at_us < DROP_REPORT_INTERVAL_US)
     {
       return;
     }
-  budget->stated_at_us = now_us;
+  bucket->reported_at_us = now_us;
   char line[LINE_BYTES];
   size_t used
-      = format_start (line, sizeof line, LOG_WARNING, "log_lines_dropped");
-  int more = snprintf (line + used, sizeof line - used, "of=%s lines=%lu\n",
-                       budget->event, (unsigned long)budget->dropped);
-  if (append (line, used + (size_t)more))
+      = format_prefix (line, sizeof line, LOG_WARNING, "log_lines_dropped");
+  int field_bytes
+      = snprintf (line + used, sizeof line - used, "of=%s lines=%lu\n",
+                  bucket->event, (unsigned long)bucket->dropped);
+  if (append (line, used + (size_t)field_bytes))
     {
-      budget->dropped = 0;
+      bucket->dropped = 0;
     }
 }
 
-/* Adds LINE under the budget of EVENT.  */
+/* Adds LINE, of LENGTH bytes, or drops it when EVENT exceeds its rate limit or
+   the buffer is full.  */
 static void
 add_line (const char *event, const char *line, size_t length)
 {
   int64_t now_us = clk_monotonic_us ();
   pthread_mutex_lock (&output.lock);
-  struct event_budget *budget = find_budget (event, now_us);
-  if (budget == NULL || !take_line (budget, now_us))
+  struct event_bucket *bucket = find_bucket (event, now_us);
+  if (bucket == NULL || !take_token (bucket, now_us))
     {
       output.dropped++;
-      if (budget != NULL)
+      if (bucket != NULL)
         {
-          budget->dropped++;
+          bucket->dropped++;
         }
     }
   else
     {
-      state_dropped (budget, now_us);
+      report_dropped (bucket, now_us);
       if (!append (line, length))
         {
-          budget->dropped++;
+          bucket->dropped++;
           output.dropped++;
         }
     }
@@ -239,8 +258,10 @@
 }
 
 /* Writes one line: `time=... level=... event=EVENT key=value ...'.  EVENT is a
-   literal; FORMAT gives the key=value fields.  Never pass secrets or prompts.
-   The line is cut at 1024 bytes.  Thread-safe; never blocks on the output.  */
+   string literal; the rate limit identifies it by its address.  FORMAT gives
+   the key=value fields.  Never pass secrets or prompts.  The line is truncated
+   to 1024 bytes.  Thread-safe; never blocks on standard output, but drops
+   lines beyond the rate limit of EVENT.  */
 void
 lg_line (int priority, const char *event, const char *format, ...)
 {
@@ -249,13 +270,13 @@
       return;
     }
   char line[LINE_BYTES];
-  size_t used = format_start (line, sizeof line, priority, event);
+  size_t used = format_prefix (line, sizeof line, priority, event);
   va_list arguments;
   va_start (arguments, format);
-  int more
+  int field_bytes
       = vsnprintf (line + used, sizeof line - used - 1, format, arguments);
   va_end (arguments);
-  size_t length = used + (more > 0 ? (size_t)more : 0);
+  size_t length = used + (field_bytes > 0 ? (size_t)field_bytes : 0);
   if (length > sizeof line - 2)
     {
       length = sizeof line - 2;
@@ -264,8 +285,8 @@
   add_line (event, line, length + 1);
 }
 
-/* Writes the lines that wait, as far as standard output takes them at once.
-   Thread-safe.  */
+/* Writes buffered lines as far as standard output accepts them without
+   blocking; the rest stays in the buffer.  Thread-safe.  */
 void
 lg_flush (void)
 {
@@ -274,7 +295,8 @@
   pthread_mutex_unlock (&output.lock);
 }
 
-/* Returns the number of lines dropped since the start.  */
+/* Returns how many lines were dropped since the process started.
+   Thread-safe.  */
 uint64_t
 lg_dropped (void)
 {
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,6 @@
-/* Structured log lines on standard output.  Their number is bounded for each
-   event, and writing never blocks: what doesn't fit is dropped and counted. */
+/* Structured log lines on standard output.  Each event has a rate limit, and
+   writing never blocks: lines beyond the limit, or that standard output does
+   not accept in time, are dropped and counted. */
 #ifndef BASE_LOG_H
 #define BASE_LOG_H
 
--- a/src/base/nearest.c
+++ b/src/base/nearest.c
@@ -4,11 +4,14 @@
 #include <stdbool.h>
 #include <string.h>
 
+/* Longer words are neither corrected nor suggested. */
 #define WORD_BYTES_MAX 64
+
+/* Shorter words are not accepted as the prefix of a known word. */
 #define PREFIX_BYTES_MIN 3
 
-/* Returns the least number of single-character insertions, deletions and
-   substitutions between two words of at most WORD_BYTES_MAX bytes.  */
+/* Returns the Levenshtein distance of A and B, in bytes.  B is at most
+   WORD_BYTES_MAX bytes long.  */
 static size_t
 edit_distance (const char *a, const char *b)
 {
@@ -33,9 +36,10 @@
   return row[b_bytes];
 }
 
-/* Returns the one of the KNOWN_COUNT words of KNOWN that is nearest to WORD,
-   or NULL when none is near: more than half of WORD would change.  One that
-   starts with WORD is the nearest.  */
+/* Returns the word of KNOWN, which has KNOWN_COUNT words, with the least edit
+   distance to WORD, or NULL when every distance exceeds half the length of
+   WORD.  A known word that starts with WORD, of at least PREFIX_BYTES_MIN
+   bytes, has distance 0.  The first word wins a tie.  */
 const char *
 near_word (const char *word, const char *const *known, size_t known_count)
 {
@@ -45,19 +49,19 @@
       return NULL;
     }
   const char *nearest = NULL;
-  size_t least = word_bytes / 2 + 1;
+  size_t least_distance = word_bytes / 2 + 1;
   for (size_t i = 0; i < known_count; i++)
     {
       if (strlen (known[i]) > WORD_BYTES_MAX)
         {
           continue;
         }
-      bool starts = word_bytes >= PREFIX_BYTES_MIN
-                    && strncmp (word, known[i], word_bytes) == 0;
-      size_t distance = starts ? 0 : edit_distance (word, known[i]);
-      if (distance < least)
+      bool is_prefix = word_bytes >= PREFIX_BYTES_MIN
+                       && strncmp (word, known[i], word_bytes) == 0;
+      size_t distance = is_prefix ? 0 : edit_distance (word, known[i]);
+      if (distance < least_distance)
         {
-          least = distance;
+          least_distance = distance;
           nearest = known[i];
         }
     }
--- a/src/base/nearest.h
+++ b/src/base/nearest.h
@@ -1,4 +1,4 @@
-/* Suggestion of the nearest known word. */
+/* Suggests the known word that is most similar to a misspelt one. */
 #ifndef BASE_NEAREST_H
 #define BASE_NEAREST_H
 
