--- a/src/platform/host_list.c
+++ b/src/platform/host_list.c
@@ -5,9 +5,11 @@
 #include <jansson.h>
 #include <string.h>
 
-#define TIMEOUT_US (2 * CLK_S_US)
+#define REQUEST_TIMEOUT_US (2 * CLK_S_US)
 #define STATUS_NOT_MODIFIED 304
 
+/* Copies the string KEY of OBJECT to OUT, of OUT_BYTES bytes; "" when OBJECT
+   has no such string.  */
 static void
 copy_string (const json_t *object, const char *key, char *out,
              size_t out_bytes)
@@ -16,6 +18,7 @@
   g_strlcpy (out, value != NULL ? value : "", out_bytes);
 }
 
+/* Returns whether KEY of OBJECT is the string EXPECTED.  */
 static bool
 has_value (const json_t *object, const char *key, const char *expected)
 {
@@ -23,6 +26,8 @@
   return value != NULL && strcmp (value, expected) == 0;
 }
 
+/* Fills LIST from the body of a response.  Returns ERR_PROTOCOL when the body
+   has no array of hosts.  */
 static enum err_kind
 read_list (const json_t *json, struct hl_list *list)
 {
@@ -47,41 +52,45 @@
   return ERR_NONE;
 }
 
-/* Reads the list when it is newer than version THAN (0: any); sets CHANGED.
-   LIST is freed with hl_clear in every case.  Errors: ERR_LOG_UNAVAILABLE,
-   ERR_PROTOCOL.  */
+/* Fetches the host list if its version is newer than NEWER_THAN (0: any
+   version), and sets CHANGED to whether LIST holds a new one.  The caller
+   frees LIST with hl_clear in every case.  Blocks for at most 2 s.  Errors:
+   ERR_LOG_UNAVAILABLE when the request failed or was rejected, ERR_PROTOCOL
+   when the response is malformed.  */
 enum err_kind
-hl_get (struct con_pool *pool, uint64_t than, struct hl_list *list,
+hl_get (struct con_pool *pool, uint64_t newer_than, struct hl_list *list,
         bool *changed)
 {
-  struct con_answer answer;
+  struct con_answer response;
   char path[64];
-  g_snprintf (path, sizeof path, "/v1/hosts?than=%" G_GUINT64_FORMAT, than);
+  g_snprintf (path, sizeof path, "/v1/hosts?than=%" G_GUINT64_FORMAT,
+              newer_than);
   struct con_call call = {
     .method = "GET",
-    .path = than > 0 ? path : "/v1/hosts",
-    .timeout_us = TIMEOUT_US,
+    .path = newer_than > 0 ? path : "/v1/hosts",
+    .timeout_us = REQUEST_TIMEOUT_US,
   };
   memset (list, 0, sizeof *list);
   *changed = false;
-  enum err_kind error = con_call_run (pool, &call, &answer);
+  enum err_kind error = con_call_run (pool, &call, &response);
   if (error != ERR_NONE
-      || (answer.status != 200 && answer.status != STATUS_NOT_MODIFIED))
+      || (response.status != 200 && response.status != STATUS_NOT_MODIFIED))
     {
       error = ERR_LOG_UNAVAILABLE;
     }
-  else if (answer.status == 200)
+  else if (response.status == 200)
     {
-      json_t *json = json_loadb (answer.body->str, answer.body->len, 0, NULL);
+      json_t *json
+          = json_loadb (response.body->str, response.body->len, 0, NULL);
       error = read_list (json, list);
       *changed = error == ERR_NONE;
       json_decref (json);
     }
-  con_answer_clear (&answer);
+  con_answer_clear (&response);
   return error;
 }
 
-/* Frees what LIST owns.  */
+/* Frees the hosts of LIST and empties LIST.  */
 void
 hl_clear (struct hl_list *list)
 {
--- a/src/platform/host_list.h
+++ b/src/platform/host_list.h
@@ -1,4 +1,5 @@
-/* The platform's lagging list of hosts: docs/interfaces/log.md. */
+/* Client of the platform's host list, which may lag behind the hosts' actual
+   state.  Its HTTP interface: docs/interfaces/log.md. */
 #ifndef PLATFORM_HOST_LIST_H
 #define PLATFORM_HOST_LIST_H
 
@@ -9,18 +10,18 @@
 {
   char name[CFG_NAME_BYTES];
   char address[CFG_ADDRESS_BYTES];
-  bool leaving;
-  bool daemon; /* an entry host of the system's own */
+  bool leaving; /* the platform announced the host's removal */
+  bool daemon;  /* runs one of this router's daemons, not an engine */
 };
 
 struct hl_list
 {
-  uint64_t version;
+  uint64_t version; /* rises with each change of the list */
   struct hl_host *hosts;
   uint32_t host_count;
 };
 
-enum err_kind hl_get (struct con_pool *pool, uint64_t than,
+enum err_kind hl_get (struct con_pool *pool, uint64_t newer_than,
                       struct hl_list *list, bool *changed);
 void hl_clear (struct hl_list *list);
 
--- a/src/platform/log_client.c
+++ b/src/platform/log_client.c
@@ -13,8 +13,8 @@
 
 struct plog_client
 {
-  GPtrArray *pools;        /* struct con_pool, one for each address */
-  _Atomic uint32_t in_use; /* index of the address that answered last */
+  GPtrArray *pools;         /* struct con_pool, one for each address */
+  _Atomic uint32_t current; /* of the pool to use, modulo the pool count */
 };
 
 static void
@@ -23,7 +23,9 @@
   con_pool_destroy (data);
 }
 
-/* Creates a client of the log at URLS, NULL-terminated.  Thread-safe.  */
+/* Creates a client of the log that is served at each of URLS, a
+   NULL-terminated array of at least one.  Calls go to one address and,
+   after a failure, to the next.  Several threads may use the client.  */
 struct plog_client *
 plog_create (char *const *urls)
 {
@@ -36,7 +38,7 @@
   return client;
 }
 
-/* Frees CLIENT; no call may be under way.  */
+/* Frees CLIENT, which may be NULL.  No call may be in progress.  */
 void
 plog_destroy (struct plog_client *client)
 {
@@ -49,22 +51,25 @@
 }
 
 static struct con_pool *
-pool_in_use (struct plog_client *client)
+current_pool (struct plog_client *client)
 {
-  uint32_t index = atomic_load (&client->in_use) % client->pools->len;
+  uint32_t index = atomic_load (&client->current) % client->pools->len;
   return g_ptr_array_index (client->pools, index);
 }
 
-/* The next call goes to the next address.  */
+/* Directs further calls to the next address.  */
 static void
-turn_to_next_address (struct plog_client *client)
+select_next_address (struct plog_client *client)
 {
-  atomic_fetch_add (&client->in_use, 1);
+  atomic_fetch_add (&client->current, 1);
 }
 
+/* Sends an append request.  Returns ERR_NONE on HTTP status 200,
+   ERR_LOG_UNAVAILABLE when the record was certainly not appended, and
+   ERR_APPEND_UNKNOWN when it may have been.  */
 static enum err_kind
 run_append (struct plog_client *client, const char *path, const char *body,
-            struct con_answer *answer)
+            struct con_answer *response)
 {
   struct con_call call = {
     .method = "POST",
@@ -72,49 +77,53 @@
     .body = body,
     .body_bytes = strlen (body),
     .timeout_us = APPEND_TIMEOUT_US,
-    .new_connection = true, /* never sent twice by the library */
+    /* On a reused connection, libcurl may send the request twice. */
+    .new_connection = true,
   };
-  enum err_kind error = con_call_run (pool_in_use (client), &call, answer);
+  enum err_kind error = con_call_run (current_pool (client), &call, response);
   if (error != ERR_NONE)
     {
-      turn_to_next_address (client);
-      return answer->maybe_sent ? ERR_APPEND_UNKNOWN : ERR_LOG_UNAVAILABLE;
+      select_next_address (client);
+      return response->maybe_sent ? ERR_APPEND_UNKNOWN : ERR_LOG_UNAVAILABLE;
     }
-  if (answer->status == STATUS_TOO_MANY
-      || answer->status == STATUS_UNAVAILABLE)
+  if (response->status == STATUS_TOO_MANY
+      || response->status == STATUS_UNAVAILABLE)
     {
       return ERR_LOG_UNAVAILABLE;
     }
-  return answer->status == 200 ? ERR_NONE : ERR_APPEND_UNKNOWN;
+  return response->status == 200 ? ERR_NONE : ERR_APPEND_UNKNOWN;
 }
 
-/* Appends one record to STREAM and sets OFFSET; sets OUT when the log itself
-   said that it is out.  Blocks for at most 2 s.
-   Errors: ERR_LOG_UNAVAILABLE when the record was certainly not appended,
-   ERR_APPEND_UNKNOWN when it may have been.  */
+/* Appends one record to STREAM and sets OFFSET to the record's offset.  Sets
+   UNAVAILABLE to whether the log responded that it is unavailable (503).
+   Blocks for at most 2 s.  Errors: ERR_LOG_UNAVAILABLE when the record was
+   certainly not appended, ERR_APPEND_UNKNOWN when it may have been.  */
 enum err_kind
 plog_append (struct plog_client *client, const char *stream,
              const uint8_t *bytes, size_t byte_count, uint64_t *offset,
-             bool *out)
+             bool *unavailable)
 {
-  struct con_answer answer;
+  struct con_answer response;
   g_autofree char *path = g_strdup_printf ("/v1/log/%s", stream);
   g_autofree char *record = g_base64_encode (bytes, byte_count);
   g_autofree char *body = g_strdup_printf ("{\"record\":\"%s\"}", record);
-  enum err_kind error = run_append (client, path, body, &answer);
-  *out = answer.status == STATUS_UNAVAILABLE;
+  enum err_kind error = run_append (client, path, body, &response);
+  *unavailable = response.status == STATUS_UNAVAILABLE;
   if (error == ERR_NONE)
     {
-      json_t *json = json_loadb (answer.body->str, answer.body->len, 0, NULL);
+      json_t *json
+          = json_loadb (response.body->str, response.body->len, 0, NULL);
       const json_t *value = json_object_get (json, "offset");
       *offset = (uint64_t)json_integer_value (value);
       error = json_is_integer (value) ? ERR_NONE : ERR_APPEND_UNKNOWN;
       json_decref (json);
     }
-  con_answer_clear (&answer);
+  con_answer_clear (&response);
   return error;
 }
 
+/* Decodes ITEM into RECORD, whose bytes the caller frees.  Returns false when
+   ITEM has no payload.  */
 static bool
 read_record (const json_t *item, struct plog_record *record)
 {
@@ -130,6 +139,8 @@
   return true;
 }
 
+/* Fills PAGE from the body of a response.  Returns ERR_PROTOCOL when the body
+   is malformed; PAGE then holds the records before the error.  */
 static enum err_kind
 read_page (const json_t *json, struct plog_page *page)
 {
@@ -155,41 +166,44 @@
   return ERR_NONE;
 }
 
-/* Reads at most MAX records of STREAM from offset FROM on; waits up to WAIT_MS
-   for the first.  PAGE is freed with plog_page_clear in every case.  Errors:
-   ERR_LOG_UNAVAILABLE, ERR_PROTOCOL.  */
+/* Reads at most RECORDS_MAX records of STREAM, starting at offset FROM, and
+   waits up to WAIT_MS for the first.  The caller frees PAGE with
+   plog_page_clear in every case.  Blocks for at most 2 s more than WAIT_MS.
+   Errors: ERR_LOG_UNAVAILABLE when the request failed or was rejected,
+   ERR_PROTOCOL when the response is malformed.  */
 enum err_kind
 plog_read (struct plog_client *client, const char *stream, uint64_t from,
-           uint32_t max, uint32_t wait_ms, struct plog_page *page)
+           uint32_t records_max, uint32_t wait_ms, struct plog_page *page)
 {
-  struct con_answer answer;
+  struct con_answer response;
   g_autofree char *path = g_strdup_printf ("/v1/log/%s?from=%" G_GUINT64_FORMAT
                                            "&max=%u&wait_ms=%u",
-                                           stream, from, max, wait_ms);
+                                           stream, from, records_max, wait_ms);
   struct con_call call = {
     .method = "GET",
     .path = path,
     .timeout_us = READ_TIMEOUT_US + wait_ms * CLK_MS_US,
   };
   memset (page, 0, sizeof *page);
-  enum err_kind error = con_call_run (pool_in_use (client), &call, &answer);
-  page->out = error == ERR_NONE && answer.status == STATUS_UNAVAILABLE;
-  if (error != ERR_NONE || answer.status != 200)
+  enum err_kind error = con_call_run (current_pool (client), &call, &response);
+  page->out = error == ERR_NONE && response.status == STATUS_UNAVAILABLE;
+  if (error != ERR_NONE || response.status != 200)
     {
-      turn_to_next_address (client);
+      select_next_address (client);
       error = ERR_LOG_UNAVAILABLE;
     }
   else
     {
-      json_t *json = json_loadb (answer.body->str, answer.body->len, 0, NULL);
+      json_t *json
+          = json_loadb (response.body->str, response.body->len, 0, NULL);
       error = read_page (json, page);
       json_decref (json);
     }
-  con_answer_clear (&answer);
+  con_answer_clear (&response);
   return error;
 }
 
-/* Frees what PAGE owns.  */
+/* Frees the records of PAGE and empties PAGE.  */
 void
 plog_page_clear (struct plog_page *page)
 {
--- a/src/platform/log_client.h
+++ b/src/platform/log_client.h
@@ -1,4 +1,5 @@
-/* The platform's append-only log: docs/interfaces/log.md. */
+/* Client of the platform's append-only log, which consists of named streams of
+   records.  Its HTTP interface: docs/interfaces/log.md. */
 #ifndef PLATFORM_LOG_CLIENT_H
 #define PLATFORM_LOG_CLIENT_H
 
@@ -9,27 +10,28 @@
 struct plog_record
 {
   uint64_t offset;
-  int64_t time_us; /* the log's own time of the append */
+  int64_t time_us; /* of the append, since 1970, by the log's clock */
   const uint8_t *bytes;
   size_t byte_count;
 };
 
+/* The result of one read. */
 struct plog_page
 {
-  uint64_t first; /* records below have aged out */
-  uint64_t next;  /* the offset that the next append will get */
+  uint64_t first; /* oldest offset retained; older records have expired */
+  uint64_t next;  /* offset of the next record to be appended */
   struct plog_record *records;
   size_t record_count;
-  bool out; /* the log itself said that it is out (503) */
+  bool out; /* the log responded that it is unavailable (503) */
 };
 
 struct plog_client *plog_create (char *const *urls);
 void plog_destroy (struct plog_client *client);
 enum err_kind plog_append (struct plog_client *client, const char *stream,
                            const uint8_t *bytes, size_t byte_count,
-                           uint64_t *offset, bool *out);
+                           uint64_t *offset, bool *unavailable);
 enum err_kind plog_read (struct plog_client *client, const char *stream,
-                         uint64_t from, uint32_t max, uint32_t wait_ms,
+                         uint64_t from, uint32_t records_max, uint32_t wait_ms,
                          struct plog_page *page);
 void plog_page_clear (struct plog_page *page);
 
