--- a/src/cli/admin.c
+++ b/src/cli/admin.c
@@ -7,42 +7,44 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Keeps what was parsed beyond the life of the argument table: the strings are
-   those of argv.  */
+/* Copies the parsed arguments to ARGS, which outlives the argument table: the
+   strings are those of argv or the environment, not copies.  */
 static void
-keep (struct cli_admin *admin, const struct arg_str *url,
-      const struct arg_file *token, const struct arg_str *words,
-      const struct arg_lit *json)
+copy_arguments (struct cli_admin_args *args, const struct arg_str *url,
+                const struct arg_file *token,
+                const struct arg_str *positionals, const struct arg_lit *json)
 {
   const char *default_url = g_getenv ("KUMQUATTHREAD_OPERATOR");
   const char *default_token = g_getenv ("KUMQUATTHREAD_TOKEN_FILE");
-  admin->at.url = url->count > 0 ? url->sval[0] : default_url;
-  admin->at.token_file = token->count > 0 ? token->filename[0] : default_token;
-  admin->word_count = words->count;
-  admin->json = json->count > 0;
-  for (int i = 0; i < words->count; i++)
+  args->api.url = url->count > 0 ? url->sval[0] : default_url;
+  args->api.token_file = token->count > 0 ? token->filename[0] : default_token;
+  args->positional_count = positionals->count;
+  args->json = json->count > 0;
+  for (int i = 0; i < positionals->count; i++)
     {
-      admin->words[i] = words->sval[i];
+      args->positionals[i] = positionals->sval[i];
     }
 }
 
-/* Parses the command line.  USAGE names the words.  Returns -1 when the
-   command should go on, else the exit code.  */
+/* Parses ARGV, whose first word is the subcommand, into ARGS.  USAGE is the
+   subcommand's name and the syntax of its arguments.  Returns OPT_CONTINUE
+   when the command line is valid, else the exit code.  */
 int
 cli_admin_parse (int argc, char **argv, const char *usage,
-                 struct cli_admin *admin)
+                 struct cli_admin_args *args)
 {
-  struct arg_str *words = arg_strn (NULL, NULL, NULL, 0, ADM_REST_MAX, NULL);
+  struct arg_str *positionals
+      = arg_strn (NULL, NULL, NULL, 0, CLI_POSITIONALS_MAX, NULL);
   struct arg_str *url = arg_str0 (NULL, "operator", "URL",
-                                  "of a daemon's operator address; default "
+                                  "operator address; default "
                                   "$KUMQUATTHREAD_OPERATOR");
   struct arg_file *token = arg_file0 (NULL, "token-file", "FILE",
-                                      "with the operators' token; default "
+                                      "operators' token; default "
                                       "$KUMQUATTHREAD_TOKEN_FILE");
   struct arg_lit *json = arg_lit0 (NULL, "json", "print JSON");
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help");
   struct arg_end *end = arg_end (8);
-  void *table[] = { url, token, json, help, words, end };
+  void *table[] = { url, token, json, help, positionals, end };
   g_autofree char *command = g_strconcat ("kumquatthread ", argv[0], NULL);
   const char *syntax = strchr (usage, ' ');
   const struct opt_usage options = {
@@ -52,16 +54,16 @@
     .help = help,
     .end = end,
   };
-  memset (admin, 0, sizeof *admin);
+  memset (args, 0, sizeof *args);
   int result = opt_parse (&options, argc, argv);
-  if (result == OPT_GO_ON)
+  if (result == OPT_CONTINUE)
     {
-      keep (admin, url, token, words, json);
-      if (admin->at.url == NULL || admin->at.token_file == NULL)
+      copy_arguments (args, url, token, positionals, json);
+      if (args->api.url == NULL || args->api.token_file == NULL)
         {
-          fputs ("kumquatthread: --operator and --token-file are needed\n",
+          fputs ("kumquatthread: --operator and --token-file are required\n",
                  stderr);
-          result = CLI_BAD_USAGE;
+          result = CLI_INVALID_INPUT;
         }
     }
   arg_freetable (table, sizeof table / sizeof table[0]);
--- a/src/cli/admin.h
+++ b/src/cli/admin.h
@@ -1,4 +1,5 @@
-/* What the subcommands that call the administration API share. */
+/* Command line parsing of the subcommands that call a daemon's administration
+   API. */
 #ifndef CLI_ADMIN_H
 #define CLI_ADMIN_H
 
@@ -7,18 +8,19 @@
 #include <argtable2.h>
 #include <stdbool.h>
 
-#define ADM_REST_MAX 8
+/* Most positional arguments of a subcommand. */
+#define CLI_POSITIONALS_MAX 8
 
-/* The command line: words, then --operator URL and --token-file FILE. */
-struct cli_admin
+/* The parsed command line.  Its strings belong to argv or the environment. */
+struct cli_admin_args
 {
-  struct cli_operator at;
-  const char *words[ADM_REST_MAX];
-  int word_count;
-  bool json;
+  struct cli_api api;
+  const char *positionals[CLI_POSITIONALS_MAX];
+  int positional_count;
+  bool json; /* --json: print the response as JSON */
 };
 
 int cli_admin_parse (int argc, char **argv, const char *usage,
-                     struct cli_admin *admin);
+                     struct cli_admin_args *args);
 
 #endif
--- a/src/cli/check.c
+++ b/src/cli/check.c
@@ -1,4 +1,4 @@
-/* kumquatthread check */
+/* kumquatthread check: validates a settings or configuration file. */
 #include "cli/cli.h"
 #include "cli/options.h"
 #include "config/file.h"
@@ -7,46 +7,49 @@
 
 #include <stdio.h>
 
-/* Checks the settings in PATH.  Prints what is wrong.  */
+/* Checks the settings file PATH and prints its errors.  Returns the exit
+   code.  */
 static int
 check_settings (const char *path)
 {
-  GString *complaints = g_string_new (NULL);
-  struct set_settings *settings = set_load (path, complaints, NULL);
-  fputs (complaints->str, stderr);
-  g_string_free (complaints, TRUE);
+  GString *diagnostics = g_string_new (NULL);
+  struct set_settings *settings = set_load (path, diagnostics, NULL);
+  fputs (diagnostics->str, stderr);
+  g_string_free (diagnostics, TRUE);
   if (settings == NULL)
     {
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
   printf ("%s: settings of %s in %s, no errors\n", path, settings->name,
           settings->data_centre);
   set_destroy (settings);
-  return CLI_FINE;
+  return CLI_OK;
 }
 
-/* Checks the configuration TEXT, read from PATH.  Prints what is wrong.  */
+/* Checks the configuration TEXT, read from PATH, and prints the errors.
+   Returns the exit code.  */
 static int
 check_configuration (const char *path, const char *text, size_t text_bytes)
 {
-  GString *complaints = g_string_new (NULL);
+  GString *diagnostics = g_string_new (NULL);
   struct cfg_config *config
-      = cfg_parse (path, text, text_bytes, complaints, NULL);
-  fputs (complaints->str, stderr);
-  g_string_free (complaints, TRUE);
+      = cfg_parse (path, text, text_bytes, diagnostics, NULL);
+  fputs (diagnostics->str, stderr);
+  g_string_free (diagnostics, TRUE);
   if (config == NULL)
     {
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
   printf ("%s: configuration %" G_GUINT64_FORMAT
           ", %u accounts, %u models, %u hosts, %u services, no errors\n",
           path, config->version, config->account_count, config->model_count,
           config->host_count, config->service_count);
   cfg_config_destroy (config);
-  return CLI_FINE;
+  return CLI_OK;
 }
 
-/* Checks PATH, which is settings or a configuration.  */
+/* Checks the file PATH as settings or as a configuration, whichever its keys
+   suggest.  Returns the exit code.  */
 static int
 check_file (const char *path)
 {
@@ -57,7 +60,7 @@
     {
       fprintf (stderr, "%s\n", error->message);
       g_error_free (error);
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
   int status = cfg_is_settings (text, text_bytes)
                    ? check_settings (path)
@@ -67,7 +70,7 @@
 }
 
 /* Runs `check FILE': prints every error of a settings or configuration file.
-   Returns 0 when there is none, else 2.  */
+   Returns the exit code: 0 when the file is valid, else 2.  */
 int
 cli_check_run (int argc, char **argv)
 {
@@ -78,14 +81,14 @@
   void *table[] = { help, file, end };
   struct opt_usage usage = {
     .command = "kumquatthread check",
-    .summary = "Checks a settings or configuration file; nothing is put in "
-               "force.",
+    .summary = "Checks a settings or configuration file without applying "
+               "it.",
     .table = table,
     .help = help,
     .end = end,
   };
   int status = opt_parse (&usage, argc, argv);
-  if (status == OPT_GO_ON)
+  if (status == OPT_CONTINUE)
     {
       status = check_file (file->filename[0]);
     }
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,15 +1,19 @@
-/* The subcommands. */
+/* The subcommands of kumquatthread and their exit codes. */
 #ifndef CLI_CLI_H
 #define CLI_CLI_H
 
-#define CLI_FINE 0
+/* Exit codes: success; the operation failed; the command line or an input file
+   is invalid. */
+#define CLI_OK 0
 #define CLI_FAILED 1
-#define CLI_BAD_USAGE 2
+#define CLI_INVALID_INPUT 2
 
 struct cli_command
 {
   const char *name;
-  const char *summary;
+  const char *summary; /* one line for `kumquatthread --help' */
+
+  /* Runs the command; ARGV starts with its name.  Returns the exit code. */
   int (*run) (int argc, char **argv);
 };
 
--- a/src/cli/client.c
+++ b/src/cli/client.c
@@ -6,8 +6,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#define TIMEOUT_US (15 * CLK_S_US)
+#define REQUEST_TIMEOUT_US (15 * CLK_S_US)
 
+/* Prints the error that the response BODY holds to standard error.  BODY may
+   be NULL.  */
 static void
 print_failure (const json_t *body, uint16_t status)
 {
@@ -19,47 +21,49 @@
            status);
 }
 
-/* Calls the administration API and returns the body of a good answer, owned by
-   the caller.  Otherwise prints why not and returns NULL.  */
+/* Sends a request to the administration API that API describes, with a
+   timeout of 15 s.  BODY, of BODY_BYTES bytes, may be NULL.  Returns the JSON
+   body of a response with status 200, owned by the caller.  Otherwise prints
+   the error to standard error and returns NULL.  */
 json_t *
-cli_call (const struct cli_operator *at, const char *method, const char *path,
+cli_call (const struct cli_api *api, const char *method, const char *path,
           const char *body, uint32_t body_bytes)
 {
   g_autofree char *token = NULL;
   g_autoptr (GError) error = NULL;
-  if (!g_file_get_contents (at->token_file, &token, NULL, &error))
+  if (!g_file_get_contents (api->token_file, &token, NULL, &error))
     {
       fprintf (stderr, "kumquatthread: %s\n", error->message);
       return NULL;
     }
-  struct con_pool *pool = con_pool_create (at->url);
-  struct con_answer answer;
+  struct con_pool *pool = con_pool_create (api->url);
+  struct con_answer response;
   struct con_call call = {
     .method = method,
     .path = path,
     .body = body,
     .body_bytes = body_bytes,
     .bearer = g_strstrip (token),
-    .timeout_us = TIMEOUT_US,
+    .timeout_us = REQUEST_TIMEOUT_US,
   };
   json_t *json = NULL;
-  enum err_kind kind = con_call_run (pool, &call, &answer);
+  enum err_kind kind = con_call_run (pool, &call, &response);
   if (kind != ERR_NONE)
     {
-      fprintf (stderr, "kumquatthread: %s: %s\n", at->url,
+      fprintf (stderr, "kumquatthread: %s: %s\n", api->url,
                err_answer (kind)->summary);
     }
   else
     {
-      json = json_loadb (answer.body->str, answer.body->len, 0, NULL);
-      if (answer.status != 200)
+      json = json_loadb (response.body->str, response.body->len, 0, NULL);
+      if (response.status != 200)
         {
-          print_failure (json, answer.status);
+          print_failure (json, response.status);
           json_decref (json);
           json = NULL;
         }
     }
-  con_answer_clear (&answer);
+  con_answer_clear (&response);
   con_pool_destroy (pool);
   return json;
 }
--- a/src/cli/config.c
+++ b/src/cli/config.c
@@ -1,3 +1,4 @@
+/* kumquatthread config: publishes, shows and compares configurations. */
 #include "cli/admin.h"
 #include "cli/cli.h"
 #include "config/file.h"
@@ -9,8 +10,9 @@
 
 #define USAGE "config publish FILE | show | history | diff FILE [OPTIONS]"
 
+/* Publishes the configuration FILE and prints its version.  */
 static int
-publish (const struct cli_admin *admin, const char *file)
+publish_file (const struct cli_admin_args *args, const char *file)
 {
   g_autofree char *text = NULL;
   gsize bytes = 0;
@@ -18,79 +20,83 @@
   if (!g_file_get_contents (file, &text, &bytes, &error))
     {
       fprintf (stderr, "kumquatthread: %s\n", error->message);
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
-  json_t *answer
-      = cli_call (&admin->at, "POST", "/v1/config", text, (uint32_t)bytes);
-  if (answer == NULL)
+  json_t *response
+      = cli_call (&args->api, "POST", "/v1/config", text, (uint32_t)bytes);
+  if (response == NULL)
     {
       return CLI_FAILED;
     }
   printf ("accepted as version %" JSON_INTEGER_FORMAT "\n",
-          json_integer_value (json_object_get (answer, "version")));
-  json_decref (answer);
-  return CLI_FINE;
+          json_integer_value (json_object_get (response, "version")));
+  json_decref (response);
+  return CLI_OK;
 }
 
+/* Prints the configuration in force, and how many daemons apply it.  */
 static int
-show (const struct cli_admin *admin)
+show_config (const struct cli_admin_args *args)
 {
-  json_t *answer = cli_call (&admin->at, "GET", "/v1/config", NULL, 0);
-  if (answer == NULL)
+  json_t *response = cli_call (&args->api, "GET", "/v1/config", NULL, 0);
+  if (response == NULL)
     {
       return CLI_FAILED;
     }
   printf ("# version %" JSON_INTEGER_FORMAT
           ", in force at %" JSON_INTEGER_FORMAT " of %" JSON_INTEGER_FORMAT
           " daemons\n%s",
-          json_integer_value (json_object_get (answer, "version")),
-          json_integer_value (json_object_get (answer, "in_force")),
-          json_integer_value (json_object_get (answer, "daemons")),
-          json_string_value (json_object_get (answer, "yaml")));
-  json_decref (answer);
-  return CLI_FINE;
+          json_integer_value (json_object_get (response, "version")),
+          json_integer_value (json_object_get (response, "in_force")),
+          json_integer_value (json_object_get (response, "daemons")),
+          json_string_value (json_object_get (response, "yaml")));
+  json_decref (response);
+  return CLI_OK;
 }
 
+/* Prints the published versions as JSON.  */
 static int
-history (const struct cli_admin *admin)
+show_history (const struct cli_admin_args *args)
 {
-  json_t *answer = cli_call (&admin->at, "GET", "/v1/config/history", NULL, 0);
-  if (answer == NULL)
+  json_t *response
+      = cli_call (&args->api, "GET", "/v1/config/history", NULL, 0);
+  if (response == NULL)
     {
       return CLI_FAILED;
     }
-  json_dumpf (answer, stdout, JSON_INDENT (2));
+  json_dumpf (response, stdout, JSON_INDENT (2));
   putchar ('\n');
-  json_decref (answer);
-  return CLI_FINE;
+  json_decref (response);
+  return CLI_OK;
 }
 
-/* Prints the lines of what would change from configuration OLD, in force, to
-   the one in NEW_PATH.  */
+/* Prints the changes from configuration OLD, which is in force, to NEW, read
+   from NEW_PATH.  Returns the exit code.  */
 static int
 print_changes (const char *old, const char *new_path, const char *new)
 {
-  GString *complaints = g_string_new (NULL);
+  GString *diagnostics = g_string_new (NULL);
   struct cfg_config *from
-      = cfg_parse ("in force", old, strlen (old), complaints, NULL);
+      = cfg_parse ("in force", old, strlen (old), diagnostics, NULL);
   struct cfg_config *to
-      = cfg_parse (new_path, new, strlen (new), complaints, NULL);
-  fputs (complaints->str, stderr);
-  int result = CLI_BAD_USAGE;
+      = cfg_parse (new_path, new, strlen (new), diagnostics, NULL);
+  fputs (diagnostics->str, stderr);
+  int result = CLI_INVALID_INPUT;
   if (from != NULL && to != NULL)
     {
       g_autofree char *changes = cfg_diff (from, to);
       fputs (changes, stdout);
-      result = CLI_FINE;
+      result = CLI_OK;
     }
   cfg_config_destroy (from);
   cfg_config_destroy (to);
-  g_string_free (complaints, TRUE);
+  g_string_free (diagnostics, TRUE);
   return result;
 }
 
+/* Prints how the configuration in PATH differs from the one in force.  */
 static int
-diff (const struct cli_admin *admin, const char *path)
+diff_file (const struct cli_admin_args *args, const char *path)
 {
   g_autofree char *new = NULL;
   size_t new_bytes = 0;
@@ -98,46 +104,48 @@
   if (!cfg_read_file (path, CFG_TEXT_BYTES_MAX, &new, &new_bytes, &error))
     {
       fprintf (stderr, "%s\n", error->message);
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
-  json_t *answer = cli_call (&admin->at, "GET", "/v1/config", NULL, 0);
-  if (answer == NULL)
+  json_t *response = cli_call (&args->api, "GET", "/v1/config", NULL, 0);
+  if (response == NULL)
     {
       return CLI_FAILED;
     }
-  const char *old = json_string_value (json_object_get (answer, "yaml"));
+  const char *old = json_string_value (json_object_get (response, "yaml"));
   int result = print_changes (old == NULL ? "" : old, path, new);
-  json_decref (answer);
+  json_decref (response);
   return result;
 }
 
-/* `config publish|show|history|diff': the fleet's configuration.  */
+/* Runs `config publish|show|history|diff', which publishes a configuration of
+   the fleet, shows the one in force, lists the versions, or prints what a file
+   would change.  Returns the exit code.  */
 int
 cli_config_run (int argc, char **argv)
 {
-  struct cli_admin admin;
-  int result = cli_admin_parse (argc, argv, USAGE, &admin);
+  struct cli_admin_args args;
+  int result = cli_admin_parse (argc, argv, USAGE, &args);
   if (result >= 0)
     {
       return result;
     }
-  const char *verb = admin.word_count > 0 ? admin.words[0] : "";
-  if (strcmp (verb, "publish") == 0 && admin.word_count == 2)
+  const char *action = args.positional_count > 0 ? args.positionals[0] : "";
+  if (strcmp (action, "publish") == 0 && args.positional_count == 2)
     {
-      return publish (&admin, admin.words[1]);
+      return publish_file (&args, args.positionals[1]);
     }
-  if (strcmp (verb, "show") == 0 && admin.word_count == 1)
+  if (strcmp (action, "show") == 0 && args.positional_count == 1)
     {
-      return show (&admin);
+      return show_config (&args);
     }
-  if (strcmp (verb, "history") == 0 && admin.word_count == 1)
+  if (strcmp (action, "history") == 0 && args.positional_count == 1)
     {
-      return history (&admin);
+      return show_history (&args);
     }
-  if (strcmp (verb, "diff") == 0 && admin.word_count == 2)
+  if (strcmp (action, "diff") == 0 && args.positional_count == 2)
     {
-      return diff (&admin, admin.words[1]);
+      return diff_file (&args, args.positionals[1]);
     }
   fputs ("usage: kumquatthread " USAGE "\n", stderr);
-  return CLI_BAD_USAGE;
+  return CLI_INVALID_INPUT;
 }
--- a/src/cli/inventory.c
+++ b/src/cli/inventory.c
@@ -1,4 +1,4 @@
-/* kumquatthread inventory */
+/* kumquatthread inventory: converts an asset register to a configuration. */
 #include "config/inventory.h"
 #include "cli/cli.h"
 #include "cli/options.h"
@@ -8,7 +8,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Reads the file PATH into FILE; prints why it cannot be read.  */
+/* Reads the file PATH into FILE.  TEXT is set to the content, which FILE
+   refers to and the caller frees.  Prints the error and returns false when the
+   file cannot be read.  */
 static bool
 read_file (const char *path, struct inv_file *file, char **text)
 {
@@ -25,27 +27,28 @@
   return true;
 }
 
-/* Prints the configuration with the hosts of CSV in place of those of
-   BASE.  */
+/* Prints the configuration BASE, which may be NULL, with its hosts replaced by
+   those of CSV.  Returns the exit code.  */
 static int
-import (const struct inv_file *csv, const struct inv_file *base)
+print_imported (const struct inv_file *csv, const struct inv_file *base)
 {
-  GString *complaints = g_string_new (NULL);
-  struct cfg_config *config = inv_import (csv, base, complaints, NULL);
-  fputs (complaints->str, stderr);
-  g_string_free (complaints, TRUE);
+  GString *diagnostics = g_string_new (NULL);
+  struct cfg_config *config = inv_import (csv, base, diagnostics, NULL);
+  fputs (diagnostics->str, stderr);
+  g_string_free (diagnostics, TRUE);
   if (config == NULL)
     {
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
   char *text = cfg_emit (config);
   fputs (text, stdout);
   g_free (text);
   cfg_config_destroy (config);
-  return CLI_FINE;
+  return CLI_OK;
 }
 
-/* Imports the register CSV_PATH; BASE_PATH may be NULL.  */
+/* Imports the register CSV_PATH into the configuration BASE_PATH, which may be
+   NULL.  Returns the exit code.  */
 static int
 import_files (const char *csv_path, const char *base_path)
 {
@@ -53,15 +56,15 @@
   struct inv_file base = { 0 };
   char *csv_text = NULL;
   char *base_text = NULL;
-  bool read = read_file (csv_path, &csv, &csv_text);
+  bool all_read = read_file (csv_path, &csv, &csv_text);
   if (base_path != NULL)
     {
-      read = read_file (base_path, &base, &base_text) && read;
+      all_read = read_file (base_path, &base, &base_text) && all_read;
     }
-  int status = CLI_BAD_USAGE;
-  if (read)
+  int status = CLI_INVALID_INPUT;
+  if (all_read)
     {
-      status = import (&csv, base_path == NULL ? NULL : &base);
+      status = print_imported (&csv, base_path == NULL ? NULL : &base);
     }
   g_free (csv_text);
   g_free (base_text);
@@ -69,8 +72,8 @@
 }
 
 /* Runs `inventory import FILE [--base CONFIG]': prints the configuration with
-   the hosts of the asset register.  Returns 0 when both files are right, else
-   2.  */
+   the hosts of the asset register.  Returns the exit code: 0 when both files
+   are valid, else 2.  */
 int
 cli_inventory_run (int argc, char **argv)
 {
@@ -85,19 +88,19 @@
   void *table[] = { help, base, action, csv, end };
   struct opt_usage usage = {
     .command = "kumquatthread inventory",
-    .summary = "Turns the asset register into a configuration, printed as "
+    .summary = "Converts an asset register to a configuration, printed as "
                "YAML.",
     .table = table,
     .help = help,
     .end = end,
   };
   int status = opt_parse (&usage, argc, argv);
-  if (status == OPT_GO_ON && strcmp (action->sval[0], actions[0]) != 0)
+  if (status == OPT_CONTINUE && strcmp (action->sval[0], actions[0]) != 0)
     {
-      status = opt_refuse_word (usage.command, "action", action->sval[0],
-                                actions, G_N_ELEMENTS (actions));
+      status = opt_print_unknown (usage.command, "action", action->sval[0],
+                                  actions, G_N_ELEMENTS (actions));
     }
-  if (status == OPT_GO_ON)
+  if (status == OPT_CONTINUE)
     {
       status = import_files (csv->filename[0],
                              base->count > 0 ? base->filename[0] : NULL);
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -1,3 +1,4 @@
+/* Program entry point: dispatches to the subcommands. */
 #include "cli/cli.h"
 #include "cli/options.h"
 
@@ -15,25 +16,25 @@
     .summary = "publish or show the fleet's configuration",
     .run = cli_config_run },
   { .name = "status",
-    .summary = "show what a daemon knows of the fleet",
+    .summary = "show the state of the fleet as one daemon sees it",
     .run = cli_status_run },
   { .name = "check",
     .summary = "check a settings or configuration file",
     .run = cli_check_run },
   { .name = "inventory",
-    .summary = "make hosts from the asset register's CSV",
+    .summary = "convert an asset register (CSV) to a configuration",
     .run = cli_inventory_run },
   { .name = "plan",
-    .summary = "print the placement of a configuration and its bound",
+    .summary = "print a configuration's placement and throughput bound",
     .run = cli_plan_run },
   { .name = "drain",
-    .summary = "give a host no new work",
+    .summary = "stop assigning new work to a host",
     .run = cli_drain_run },
   { .name = "keys",
     .summary = "list and settle calls whose outcome is unknown",
     .run = cli_keys_run },
   { .name = "report",
-    .summary = "show what is left of the error budgets",
+    .summary = "show the remaining error budgets",
     .run = cli_report_run },
 };
 
@@ -47,20 +48,21 @@
     {
       fprintf (out, "  %-10s %s\n", commands[i].name, commands[i].summary);
     }
-  fputs ("\n`kumquatthread COMMAND --help' tells more.\n", out);
+  fputs ("\n`kumquatthread COMMAND --help' shows its options.\n", out);
 }
 
-/* Prints that WORD is no command or option, and the nearest good one.  */
+/* Prints that WORD is an unknown command or option, and suggests the most
+   similar known one.  */
 static void
-refuse_command (const char *word)
+print_unknown_command (const char *word)
 {
-  const char *known[COMMAND_COUNT + 2] = { "--help", "--version" };
+  const char *known_words[COMMAND_COUNT + 2] = { "--help", "--version" };
   for (size_t i = 0; i < COMMAND_COUNT; i++)
     {
-      known[i + 2] = commands[i].name;
+      known_words[i + 2] = commands[i].name;
     }
-  opt_refuse_word ("kumquatthread", word[0] == '-' ? "option" : "command",
-                   word, known, COMMAND_COUNT + 2);
+  opt_print_unknown ("kumquatthread", word[0] == '-' ? "option" : "command",
+                     word, known_words, COMMAND_COUNT + 2);
 }
 
 int
@@ -69,12 +71,12 @@
   if (argc >= 2 && strcmp (argv[1], "--version") == 0)
     {
       puts ("kumquatthread " VERSION);
-      return CLI_FINE;
+      return CLI_OK;
     }
   if (argc >= 2 && strcmp (argv[1], "--help") == 0)
     {
       print_help (stdout);
-      return CLI_FINE;
+      return CLI_OK;
     }
   for (size_t i = 0; argc >= 2 && i < COMMAND_COUNT; i++)
     {
@@ -85,8 +87,8 @@
     }
   if (argc >= 2)
     {
-      refuse_command (argv[1]);
+      print_unknown_command (argv[1]);
     }
   print_help (stderr);
-  return CLI_BAD_USAGE;
+  return CLI_INVALID_INPUT;
 }
--- a/src/cli/options.c
+++ b/src/cli/options.c
@@ -7,8 +7,10 @@
 #include <stdio.h>
 #include <string.h>
 
+/* Long options of a subcommand that suggestions consider. */
 #define LONG_OPTIONS_MAX 64
 
+/* Prints the usage line of USAGE to OUT.  */
 static void
 print_syntax (const struct opt_usage *usage, FILE *out)
 {
@@ -23,7 +25,7 @@
     }
 }
 
-/* Prints the command line and every option of USAGE.  */
+/* Prints the summary, the usage line and the options of USAGE.  */
 static void
 print_help (const struct opt_usage *usage)
 {
@@ -36,8 +38,8 @@
   arg_print_glossary_gnu (stdout, usage->table);
 }
 
-/* Fills KNOWN with the long options of TABLE, `--name' each, which the caller
-   frees.  Returns how many there are.  */
+/* Fills KNOWN, of LONG_OPTIONS_MAX entries, with the long options of TABLE as
+   `--name'; the caller frees each.  Returns their number.  */
 static size_t
 list_long_options (void **table, char **known)
 {
@@ -57,26 +59,29 @@
   return count;
 }
 
-/* Prints that WORD, a WHAT, is unknown to COMMAND, and the nearest of the
-   KNOWN_COUNT words of KNOWN when there is one.  Returns CLI_BAD_USAGE.  */
+/* Prints to standard error that COMMAND does not know WORD, which is of
+   WORD_TYPE, as "option", and suggests the most similar of the KNOWN_COUNT
+   words of KNOWN if one is similar enough.  Returns CLI_INVALID_INPUT.  */
 int
-opt_refuse_word (const char *command, const char *what, const char *word,
-                 const char *const *known, size_t known_count)
+opt_print_unknown (const char *command, const char *word_type,
+                   const char *word, const char *const *known,
+                   size_t known_count)
 {
   const char *nearest = near_word (word, known, known_count);
   if (nearest != NULL)
     {
       fprintf (stderr, "%s: unknown %s '%s', did you mean '%s'?\n", command,
-               what, word, nearest);
+               word_type, word, nearest);
     }
   else
     {
-      fprintf (stderr, "%s: unknown %s '%s'\n", command, what, word);
+      fprintf (stderr, "%s: unknown %s '%s'\n", command, word_type, word);
     }
-  return CLI_BAD_USAGE;
+  return CLI_INVALID_INPUT;
 }
 
-/* Prints error INDEX of the command line.  */
+/* Prints error INDEX of the command line to standard error, with a suggestion
+   for an unknown long option.  */
 static void
 print_error (const struct opt_usage *usage, int index)
 {
@@ -91,8 +96,8 @@
   char *known[LONG_OPTIONS_MAX];
   size_t count = list_long_options (usage->table, known);
   char *name = g_strndup (word, strcspn (word, "="));
-  opt_refuse_word (usage->command, "option", name, (const char *const *)known,
-                   count);
+  opt_print_unknown (usage->command, "option", name,
+                     (const char *const *)known, count);
   g_free (name);
   for (size_t i = 0; i < count; i++)
     {
@@ -100,9 +105,9 @@
     }
 }
 
-/* Parses ARGV, whose first word is the subcommand, by USAGE.  Returns
-   OPT_GO_ON when the subcommand may run, CLI_FINE after printing its help, and
-   CLI_BAD_USAGE after printing what is wrong.  */
+/* Parses ARGV, whose first word is the subcommand, as USAGE describes.
+   Returns OPT_CONTINUE when the command line is valid, CLI_OK after printing
+   the help, and CLI_INVALID_INPUT after printing the errors.  */
 int
 opt_parse (const struct opt_usage *usage, int argc, char **argv)
 {
@@ -110,7 +115,7 @@
   if (usage->help->count > 0)
     {
       print_help (usage);
-      return CLI_FINE;
+      return CLI_OK;
     }
   for (int i = 0; i < usage->end->count; i++)
     {
@@ -118,8 +123,8 @@
     }
   if (errors == 0)
     {
-      return OPT_GO_ON;
+      return OPT_CONTINUE;
     }
   print_syntax (usage, stderr);
-  return CLI_BAD_USAGE;
+  return CLI_INVALID_INPUT;
 }
--- a/src/cli/options.h
+++ b/src/cli/options.h
@@ -1,25 +1,27 @@
-/* Options and usage, alike for all subcommands. */
+/* Command line parsing, help and usage errors of all subcommands. */
 #ifndef CLI_OPTIONS_H
 #define CLI_OPTIONS_H
 
 #include <argtable2.h>
 #include <stddef.h>
 
-#define OPT_GO_ON (-1)
+/* Result of opt_parse; distinct from every exit code. */
+#define OPT_CONTINUE (-1)
 
-/* What a subcommand's `--help' shows and how its command line is parsed. */
+/* The command line of a subcommand, for the parser and for `--help'. */
 struct opt_usage
 {
   const char *command; /* `kumquatthread check' */
-  const char *summary; /* or NULL */
-  const char *syntax;  /* of the arguments; NULL: as the table has them */
-  void **table;        /* of argtable; its last entry is an arg_end */
+  const char *summary; /* the first line of the help; NULL: none */
+  const char *syntax;  /* of the arguments; NULL: derived from the table */
+  void **table;        /* argtable2 entries, the last of which is END */
   const struct arg_lit *help;
-  struct arg_end *end;
+  struct arg_end *end; /* collects the errors */
 };
 
 int opt_parse (const struct opt_usage *usage, int argc, char **argv);
-int opt_refuse_word (const char *command, const char *what, const char *word,
-                     const char *const *known, size_t known_count);
+int opt_print_unknown (const char *command, const char *word_type,
+                       const char *word, const char *const *known,
+                       size_t known_count);
 
 #endif
--- a/src/cli/plan.c
+++ b/src/cli/plan.c
@@ -1,4 +1,5 @@
-/* kumquatthread plan */
+/* kumquatthread plan: prints the placement of a configuration and its
+   throughput bound. */
 #include "cli/plan.h"
 
 #include "cli/cli.h"
@@ -9,7 +10,7 @@
 
 #include <stdio.h>
 
-/* Prints what each engine holds.  */
+/* Prints the layer ranges that each engine holds.  */
 static void
 print_placement (const struct cfg_config *config,
                  const struct pl_placement *placement)
@@ -33,6 +34,8 @@
     }
 }
 
+/* Prints the throughput bound of PLACEMENT, its bottleneck, and the layer
+   ranges to load.  */
 static void
 print_bound (const struct cfg_config *config,
              const struct pl_placement *placement)
@@ -58,7 +61,7 @@
           moves.load_mib);
 }
 
-/* Prints what one more host of each kind would add.  */
+/* Prints the token rate that one more host of each kind would add.  */
 static void
 print_gains (const struct cfg_config *config,
              const struct pl_placement *placement)
@@ -77,7 +80,8 @@
   g_hash_table_destroy (seen);
 }
 
-/* Plans the configuration in PATH and prints the result.  */
+/* Plans the placement of the configuration in PATH and prints the result.
+   Returns the exit code.  */
 static int
 plan_file (const char *path)
 {
@@ -88,17 +92,17 @@
     {
       fprintf (stderr, "%s\n", error->message);
       g_error_free (error);
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
-  GString *complaints = g_string_new (NULL);
+  GString *diagnostics = g_string_new (NULL);
   struct cfg_config *config
-      = cfg_parse (path, text, text_bytes, complaints, NULL);
-  fputs (complaints->str, stderr);
-  g_string_free (complaints, TRUE);
+      = cfg_parse (path, text, text_bytes, diagnostics, NULL);
+  fputs (diagnostics->str, stderr);
+  g_string_free (diagnostics, TRUE);
   g_free (text);
   if (config == NULL)
     {
-      return CLI_BAD_USAGE;
+      return CLI_INVALID_INPUT;
     }
   struct pl_placement *placement = pl_plan (config, NULL, NULL);
   print_placement (config, placement);
@@ -106,12 +110,12 @@
   print_gains (config, placement);
   pl_destroy (placement);
   cfg_config_destroy (config);
-  return CLI_FINE;
+  return CLI_OK;
 }
 
-/* Runs `plan CONFIG': prints the placement, its bound, the bottleneck and what
-   one more host of each kind would add.  Returns 0, or 2 when the file is
-   bad.  */
+/* Runs `plan CONFIG': prints the placement, its throughput bound, the
+   bottleneck and the gain of one more host of each kind.  Returns the exit
+   code: 0, or 2 when the file is invalid.  */
 int
 cli_plan_run (int argc, char **argv)
 {
@@ -122,14 +126,14 @@
   void *table[] = { help, file, end };
   struct opt_usage usage = {
     .command = "kumquatthread plan",
-    .summary = "Prints which engine would hold which layers, the token rate "
-               "that allows and what limits it.",
+    .summary = "Prints which layers each engine would hold, the resulting "
+               "token rate and its bottleneck.",
     .table = table,
     .help = help,
     .end = end,
   };
   int status = opt_parse (&usage, argc, argv);
-  if (status == OPT_GO_ON)
+  if (status == OPT_CONTINUE)
     {
       status = plan_file (file->filename[0]);
     }
--- a/src/cli/plan.h
+++ b/src/cli/plan.h
@@ -1,4 +1,4 @@
-/* kumquatthread plan */
+/* kumquatthread plan: prints the placement of a configuration. */
 #ifndef CLI_PLAN_H
 #define CLI_PLAN_H
 
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -1,4 +1,4 @@
-/* kumquatthread report */
+/* kumquatthread report: shows error budgets and burn rates. */
 #include "cli/admin.h"
 #include "cli/cli.h"
 
@@ -7,58 +7,63 @@
 
 #define PERCENT 100.0
 
+/* Returns the string KEY of OBJECT, or "" when there is none.  */
 static const char *
-text_of (const json_t *object, const char *key)
+get_string (const json_t *object, const char *key)
 {
   const char *text = json_string_value (json_object_get (object, key));
   return text == NULL ? "" : text;
 }
 
+/* Returns the number KEY of OBJECT, or 0 when there is none.  */
 static double
-number_of (const json_t *object, const char *key)
+get_number (const json_t *object, const char *key)
 {
   return json_number_value (json_object_get (object, key));
 }
 
-/* Prints the most frequent cause KEY of LINE.  */
+/* Prints the most frequent value of KEY among the causes of LINE, and its
+   share; nothing when LINE has none.  */
 static void
-print_top (const json_t *line, const char *key)
+print_top_cause (const json_t *line, const char *key)
 {
   const json_t *top = json_object_get (line, key);
   if (json_is_object (top))
     {
-      printf (" %s %.0f%%", text_of (top, "name"),
-              PERCENT * number_of (top, "share"));
+      printf (" %s %.0f%%", get_string (top, "name"),
+              PERCENT * get_number (top, "share"));
     }
 }
 
-/* Prints the change for each week and its error, in per cent.  */
+/* Prints the change per week and its standard error, in per cent.  */
 static void
 print_trend (const json_t *trend)
 {
-  if (number_of (trend, "days") == 0)
+  if (get_number (trend, "days") == 0)
     {
       printf (" %16s", "-");
       return;
     }
-  printf (" %+8.2f +- %4.2f", PERCENT * number_of (trend, "change_weekly"),
-          PERCENT * number_of (trend, "standard_error"));
+  printf (" %+8.2f +- %4.2f", PERCENT * get_number (trend, "change_weekly"),
+          PERCENT * get_number (trend, "standard_error"));
 }
 
+/* Prints LINE, one objective of an account, as a row of the table.  */
 static void
 print_line (const json_t *line)
 {
-  printf ("%-20s %-6s %-14s %-9s %7.1f %8.2f %8.2f", text_of (line, "account"),
-          text_of (line, "work"), text_of (line, "objective"),
-          text_of (line, "verdict"), PERCENT * number_of (line, "budget_left"),
-          number_of (line, "short_burn"), number_of (line, "long_burn"));
+  printf ("%-20s %-6s %-14s %-9s %7.1f %8.2f %8.2f",
+          get_string (line, "account"), get_string (line, "work"),
+          get_string (line, "objective"), get_string (line, "verdict"),
+          PERCENT * get_number (line, "budget_left"),
+          get_number (line, "short_burn"), get_number (line, "long_burn"));
   print_trend (json_object_get (line, "trend"));
   printf (" %6" JSON_INTEGER_FORMAT "/%-9" JSON_INTEGER_FORMAT,
           json_integer_value (json_object_get (line, "bad")),
           json_integer_value (json_object_get (line, "total")));
-  print_top (line, "error");
-  print_top (line, "endpoint");
-  print_top (line, "data_centre");
+  print_top_cause (line, "error");
+  print_top_cause (line, "endpoint");
+  print_top_cause (line, "data_centre");
   putchar ('\n');
 }
 
@@ -77,22 +82,23 @@
   }
 }
 
-/* `report': service-level burn, as a daemon knows it.  */
+/* Runs `report': prints the error budgets and burn rates that one daemon
+   measured.  Returns the exit code.  */
 int
 cli_report_run (int argc, char **argv)
 {
-  struct cli_admin admin;
-  int result = cli_admin_parse (argc, argv, "report [OPTIONS]", &admin);
+  struct cli_admin_args args;
+  int result = cli_admin_parse (argc, argv, "report [OPTIONS]", &args);
   if (result >= 0)
     {
       return result;
     }
-  json_t *report = cli_call (&admin.at, "GET", "/v1/report", NULL, 0);
+  json_t *report = cli_call (&args.api, "GET", "/v1/report", NULL, 0);
   if (report == NULL)
     {
       return CLI_FAILED;
     }
-  if (admin.json)
+  if (args.json)
     {
       json_dumpf (report, stdout, JSON_INDENT (2));
       putchar ('\n');
@@ -102,5 +108,5 @@
       print_table (report);
     }
   json_decref (report);
-  return CLI_FINE;
+  return CLI_OK;
 }
--- a/src/cli/serve.c
+++ b/src/cli/serve.c
@@ -1,3 +1,4 @@
+/* kumquatthread serve: runs the daemon. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "cli/cli.h"
@@ -9,10 +10,14 @@
 #include <stdio.h>
 #include <time.h>
 
-/* The balancer has seen /readyz refuse after this time. */
-#define BALANCER_LAG_US (2 * CLK_S_US)
-#define POLL_NS 50000000
+/* Time until the load balancer has seen that /readyz reports not ready. */
+#define READYZ_LAG_US (2 * CLK_S_US)
 
+/* How often a stopping daemon checks whether its last request has ended. */
+#define POLL_INTERVAL_NS 50000000
+
+/* Prints the addresses that DAEMON listens on, for the program that started
+   it.  */
 static void
 print_addresses (const struct dmn_daemon *daemon)
 {
@@ -21,16 +26,18 @@
   fflush (stdout);
 }
 
-/* Waits for one of SIGNALS for at most POLL_NS.  Returns it, or -1.  */
+/* Waits for one of SIGNALS for at most POLL_INTERVAL_NS.  Returns its number,
+   or -1 when none arrived.  */
 static int
-poll_signal (const sigset_t *signals)
+wait_for_signal (const sigset_t *signals)
 {
-  const struct timespec wait = { .tv_nsec = POLL_NS };
+  const struct timespec wait = { .tv_nsec = POLL_INTERVAL_NS };
   return sigtimedwait (signals, NULL, &wait);
 }
 
-/* Serves until the last request has ended after a first signal.  A second
-   signal tells what a third would cut.  */
+/* Serves until a first signal, and then until the last request has ended, but
+   for at least READYZ_LAG_US.  A second signal logs how many requests a third
+   one would abort.  */
 static void
 serve_until_stopped (struct dmn_daemon *daemon, const sigset_t *signals)
 {
@@ -39,48 +46,50 @@
     {
     }
   dmn_begin_stop (daemon);
-  int64_t began_us = clk_monotonic_us ();
+  int64_t stop_began_us = clk_monotonic_us ();
   lg_line (LOG_NOTICE, "stopping", "under_way=%ld",
            (long)dmn_under_way (daemon));
-  uint32_t signals_seen = 1;
-  while (clk_monotonic_us () < began_us + BALANCER_LAG_US
+  uint32_t signal_count = 1;
+  while (clk_monotonic_us () < stop_began_us + READYZ_LAG_US
          || dmn_under_way (daemon) > 0)
     {
-      if (poll_signal (signals) < 0)
+      if (wait_for_signal (signals) < 0)
         {
           continue;
         }
-      signals_seen++;
-      lg_line (LOG_WARNING, "stopping",
-               "under_way=%ld message=\"one more signal cuts them\"",
-               (long)dmn_under_way (daemon));
-      if (signals_seen > 2)
+      signal_count++;
+      lg_line (
+          LOG_WARNING, "stopping",
+          "under_way=%ld message=\"another signal aborts these requests\"",
+          (long)dmn_under_way (daemon));
+      if (signal_count > 2)
         {
           return;
         }
     }
 }
 
+/* Runs the daemon with the settings in PATH.  Returns the exit code.  */
 static int
-serve (const char *path)
+run_daemon (const char *path)
 {
   g_autoptr (GError) error = NULL;
-  GString *complaints = g_string_new (NULL);
+  GString *diagnostics = g_string_new (NULL);
   sigset_t signals;
   sigemptyset (&signals);
   sigaddset (&signals, SIGTERM);
   sigaddset (&signals, SIGINT);
   pthread_sigmask (SIG_BLOCK, &signals, NULL);
   signal (SIGPIPE, SIG_IGN);
-  struct set_settings *settings = set_load (path, complaints, &error);
+  struct set_settings *settings = set_load (path, diagnostics, &error);
   if (settings == NULL)
     {
-      fputs (complaints->str, stderr);
+      fputs (diagnostics->str, stderr);
       fprintf (stderr, "kumquatthread: %s\n", error->message);
-      g_string_free (complaints, TRUE);
-      return CLI_BAD_USAGE;
+      g_string_free (diagnostics, TRUE);
+      return CLI_INVALID_INPUT;
     }
-  g_string_free (complaints, TRUE);
+  g_string_free (diagnostics, TRUE);
   lg_set_level (settings->log_level);
   struct dmn_daemon *daemon = dmn_create (settings, &error);
   if (daemon == NULL)
@@ -94,16 +103,16 @@
   dmn_destroy (daemon);
   lg_line (LOG_NOTICE, "stopped", "name=%s", settings->name);
   set_destroy (settings);
-  return CLI_FINE;
+  return CLI_OK;
 }
 
-/* `serve SETTINGS': runs the daemon.  */
+/* Runs `serve SETTINGS': the daemon.  Returns the exit code.  */
 int
 cli_serve_run (int argc, char **argv)
 {
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help");
   struct arg_file *file
-      = arg_file1 (NULL, NULL, "SETTINGS", "of this process, YAML");
+      = arg_file1 (NULL, NULL, "SETTINGS", "settings of this process, YAML");
   struct arg_end *end = arg_end (20);
   void *table[] = { help, file, end };
   const struct opt_usage usage = {
@@ -114,9 +123,9 @@
     .end = end,
   };
   int status = opt_parse (&usage, argc, argv);
-  if (status == OPT_GO_ON)
+  if (status == OPT_CONTINUE)
     {
-      status = serve (file->filename[0]);
+      status = run_daemon (file->filename[0]);
     }
   arg_freetable (table, G_N_ELEMENTS (table));
   return status;
--- a/src/cli/status.c
+++ b/src/cli/status.c
@@ -1,8 +1,11 @@
+/* kumquatthread status: shows the state of the fleet as one daemon sees it. */
 #include "cli/admin.h"
 #include "cli/cli.h"
 
 #include <stdio.h>
 
+/* Prints HOST, its address, whether it takes work, its load and its layer
+   ranges on one line.  */
 static void
 print_host (const json_t *host)
 {
@@ -28,40 +31,42 @@
   putchar ('\n');
 }
 
-/* `status': what one daemon knows of the fleet.  */
+/* Runs `status': prints the state of the fleet as one daemon sees it.  Returns
+   the exit code.  */
 int
 cli_status_run (int argc, char **argv)
 {
-  struct cli_admin admin;
-  int result = cli_admin_parse (argc, argv, "status [OPTIONS]", &admin);
+  struct cli_admin_args args;
+  int result = cli_admin_parse (argc, argv, "status [OPTIONS]", &args);
   if (result >= 0)
     {
       return result;
     }
-  json_t *answer = cli_call (&admin.at, "GET", "/v1/status", NULL, 0);
-  if (answer == NULL)
+  json_t *response = cli_call (&args.api, "GET", "/v1/status", NULL, 0);
+  if (response == NULL)
     {
       return CLI_FAILED;
     }
-  if (admin.json)
+  if (args.json)
     {
-      json_dumpf (answer, stdout, JSON_INDENT (2));
+      json_dumpf (response, stdout, JSON_INDENT (2));
       putchar ('\n');
     }
   else
     {
       size_t index;
       const json_t *host;
-      printf ("daemon %s, %s, configuration %" JSON_INTEGER_FORMAT "\n",
-              json_string_value (json_object_get (answer, "daemon")),
-              json_is_true (json_object_get (answer, "ready")) ? "ready"
-                                                               : "not ready",
-              json_integer_value (json_object_get (answer, "config_version")));
-      json_array_foreach (json_object_get (answer, "hosts"), index, host)
+      printf (
+          "daemon %s, %s, configuration %" JSON_INTEGER_FORMAT "\n",
+          json_string_value (json_object_get (response, "daemon")),
+          json_is_true (json_object_get (response, "ready")) ? "ready"
+                                                             : "not ready",
+          json_integer_value (json_object_get (response, "config_version")));
+      json_array_foreach (json_object_get (response, "hosts"), index, host)
       {
         print_host (host);
       }
     }
-  json_decref (answer);
-  return CLI_FINE;
+  json_decref (response);
+  return CLI_OK;
 }
