--- a/test/error_test.c
+++ b/test/error_test.c
@@ -1,3 +1,4 @@
+/* Tests of the table of error kinds and of the mapping from GError. */
 #include "base/error.h"
 
 #include <setjmp.h>
@@ -6,9 +7,9 @@
 
 #include <cmocka.h>
 
-/* Every kind has a name of its own, an HTTP status and a summary.  */
+/* Every kind has a unique name, a valid HTTP status and a summary.  */
 static void
-every_kind_has_an_answer (void **state)
+every_kind_has_table_entry (void **state)
 {
   (void)state;
   for (int i = 0; i < ERR_KIND_COUNT; i++)
@@ -25,25 +26,28 @@
     }
 }
 
+/* An error of this project maps to its kind, NULL to ERR_NONE, and an error of
+   another domain to ERR_INTERNAL.  */
 static void
-kind_of_an_error (void **state)
+gerror_maps_to_kind (void **state)
 {
   (void)state;
-  GError *ours = g_error_new (ERR_DOMAIN, ERR_NOT_FOUND, "no such model");
-  GError *other = g_error_new (G_FILE_ERROR, 1, "no such file");
+  GError *project_error
+      = g_error_new (ERR_DOMAIN, ERR_NOT_FOUND, "no such model");
+  GError *foreign_error = g_error_new (G_FILE_ERROR, 1, "no such file");
   assert_int_equal (err_kind_of (NULL), ERR_NONE);
-  assert_int_equal (err_kind_of (ours), ERR_NOT_FOUND);
-  assert_int_equal (err_kind_of (other), ERR_INTERNAL);
-  g_error_free (ours);
-  g_error_free (other);
+  assert_int_equal (err_kind_of (project_error), ERR_NOT_FOUND);
+  assert_int_equal (err_kind_of (foreign_error), ERR_INTERNAL);
+  g_error_free (project_error);
+  g_error_free (foreign_error);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (every_kind_has_an_answer),
-    cmocka_unit_test (kind_of_an_error),
+    cmocka_unit_test (every_kind_has_table_entry),
+    cmocka_unit_test (gerror_maps_to_kind),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/options_test.c
+++ b/test/options_test.c
@@ -1,3 +1,5 @@
+/* Tests of the suggestions for misspelt words, and of the exit code and output
+   of each subcommand for valid and invalid command lines. */
 #include "cli/options.h"
 
 #include "base/nearest.h"
@@ -13,13 +15,13 @@
 
 #include <cmocka.h>
 
-struct near_case
+struct suggestion_case
 {
   const char *word;
-  const char *nearest; /* NULL: none */
+  const char *expected; /* NULL: no suggestion */
 };
 
-static const struct near_case near_cases[] = {
+static const struct suggestion_case suggestion_cases[] = {
   { "--hepl", "--help" },   { "--vers", "--version" },
   { "--ver", "--version" }, { "--hlep", "--help" },
   { "--help", "--help" },   { "--bse", "--base" },
@@ -28,23 +30,23 @@
 };
 
 static void
-nearest_words (void **state)
+suggests_similar_word (void **state)
 {
   (void)state;
   static const char *const known[]
       = { "--help", "--base", "--json", "--version" };
-  for (size_t i = 0; i < G_N_ELEMENTS (near_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (suggestion_cases); i++)
     {
       const char *nearest
-          = near_word (near_cases[i].word, known, G_N_ELEMENTS (known));
-      if (near_cases[i].nearest == NULL)
+          = near_word (suggestion_cases[i].word, known, G_N_ELEMENTS (known));
+      if (suggestion_cases[i].expected == NULL)
         {
           assert_null (nearest);
         }
       else
         {
           assert_non_null (nearest);
-          assert_string_equal (nearest, near_cases[i].nearest);
+          assert_string_equal (nearest, suggestion_cases[i].expected);
         }
     }
 }
@@ -53,8 +55,8 @@
 {
   int (*run) (int argc, char **argv);
   const char *arguments[5];
-  int status;
-  const char *output; /* part of what is printed */
+  int status;         /* expected exit code */
+  const char *output; /* expected part of standard output or standard error */
 };
 
 static const struct command_case command_cases[] = {
@@ -119,8 +121,8 @@
     "nowhere.csv:1: the file" },
 };
 
-/* Runs CASE with its output, of both kinds, in a file.  Returns the output,
-   which the caller frees.  */
+/* Runs COMMAND and sets STATUS to its exit code.  Returns what was printed to
+   standard output and standard error, which the caller frees.  */
 static char *
 run_command (const struct command_case *command, int *status)
 {
@@ -145,14 +147,14 @@
   close (err);
   rewind (file);
   char *text = g_malloc0 (8192);
-  size_t got = fread (text, 1, 8191, file);
-  text[got] = '\0';
+  size_t bytes = fread (text, 1, 8191, file);
+  text[bytes] = '\0';
   fclose (file);
   return text;
 }
 
 static void
-commands_answer (void **state)
+commands_print_and_exit_as_expected (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (command_cases); i++)
@@ -172,8 +174,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (nearest_words),
-    cmocka_unit_test (commands_answer),
+    cmocka_unit_test (suggests_similar_word),
+    cmocka_unit_test (commands_print_and_exit_as_expected),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
