--- a/src/platform/host_list.c
+++ b/src/platform/host_list.c
@@ -29,7 +29,7 @@
 /* Fills LIST from the body of a response.  Returns ERR_PROTOCOL when the body
    has no array of hosts.  */
 static enum err_kind
-read_list (const json_t *json, struct hl_list *list)
+parse_list (const json_t *json, struct hl_list *list)
 {
   const json_t *hosts = json_object_get (json, "hosts");
   if (!json_is_array (hosts))
@@ -82,7 +82,7 @@
     {
       json_t *json
           = json_loadb (response.body->str, response.body->len, 0, NULL);
-      error = read_list (json, list);
+      error = parse_list (json, list);
       *changed = error == ERR_NONE;
       json_decref (json);
     }
--- a/src/platform/log_client.c
+++ b/src/platform/log_client.c
@@ -125,7 +125,7 @@
 /* Decodes ITEM into RECORD, whose bytes the caller frees.  Returns false when
    ITEM has no payload.  */
 static bool
-read_record (const json_t *item, struct plog_record *record)
+parse_record (const json_t *item, struct plog_record *record)
 {
   const char *text = json_string_value (json_object_get (item, "record"));
   if (text == NULL)
@@ -142,7 +142,7 @@
 /* Fills PAGE from the body of a response.  Returns ERR_PROTOCOL when the body
    is malformed; PAGE then holds the records before the error.  */
 static enum err_kind
-read_page (const json_t *json, struct plog_page *page)
+parse_page (const json_t *json, struct plog_page *page)
 {
   const json_t *records = json_object_get (json, "records");
   const json_t *next = json_object_get (json, "next");
@@ -157,7 +157,7 @@
   const json_t *item;
   json_array_foreach (records, index, item)
   {
-    if (!read_record (item, &page->records[page->record_count]))
+    if (!parse_record (item, &page->records[page->record_count]))
       {
         return ERR_PROTOCOL;
       }
@@ -196,7 +196,7 @@
     {
       json_t *json
           = json_loadb (response.body->str, response.body->len, 0, NULL);
-      error = read_page (json, page);
+      error = parse_page (json, page);
       json_decref (json);
     }
   con_answer_clear (&response);
