--- a/src/cli/admin.c
+++ b/src/cli/admin.c
@@ -61,7 +61,7 @@
       copy_arguments (args, url, token, positionals, json);
       if (args->api.url == NULL || args->api.token_file == NULL)
         {
-          fputs ("kumquatthread: --operator and --token-file are required\n",
+          fputs ("kumquatthread: --operator and --token-file are needed\n",
                  stderr);
           result = CLI_INVALID_INPUT;
         }
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -48,7 +48,7 @@
     {
       fprintf (out, "  %-10s %s\n", commands[i].name, commands[i].summary);
     }
-  fputs ("\n`kumquatthread COMMAND --help' shows its options.\n", out);
+  fputs ("\n`kumquatthread COMMAND --help' shows usage\n", out);
 }
 
 /* Prints that WORD is an unknown command or option, and suggests the most
