--- a/src/base/http.c
+++ b/src/base/http.c
@@ -34,7 +34,7 @@
     {
       g_string_free (body, TRUE);
       err_fail (failure, too_large ? ERR_TOO_LARGE : ERR_BAD_REQUEST,
-                too_large ? NULL : "the request body is incomplete");
+                too_large ? NULL : "the body broke off");
       return NULL;
     }
   return body;
--- a/src/operator/operator.c
+++ b/src/operator/operator.c
@@ -122,8 +122,7 @@
   bool accepted = false;
   if (host == NULL)
     {
-      err_fail (failure, ERR_BAD_REQUEST,
-                "host: the name of a host is required");
+      err_fail (failure, ERR_BAD_REQUEST, "host: a name of a host is needed");
     }
   else
     {
@@ -168,7 +167,7 @@
   if (settle.account == NULL || settle.key == NULL || !json_is_boolean (ran))
     {
       err_fail (failure, ERR_BAD_REQUEST,
-                "account, key and ran (true or false) are required");
+                "account, key and ran (true or false) are needed");
     }
   else
     {
