--- a/src/config/csv.c
+++ b/src/config/csv.c
@@ -7,13 +7,13 @@
 #define FIELDS_MAX 64
 #define BYTE_ORDER_MARK "\xef\xbb\xbf"
 
-/* The text being read. */
+/* Position in the text being parsed. */
 struct reader
 {
-  const char *at;
+  const char *next; /* first byte not yet read */
   const char *end;
-  uint32_t line;
-  struct cmp_list *complaints;
+  uint32_t line; /* of `next', from 1 */
+  struct cmp_list *errors;
 };
 
 static void
@@ -24,51 +24,51 @@
   g_free (row);
 }
 
-/* Reads what stands between quotes; the reader is after the first one.
-   Returns false when the closing quote is missing on the line or something
-   follows it.  */
+/* Appends the quoted part of a field to FIELD, starting after the opening
+   quote.  Returns false, with an error added, when the closing quote is not on
+   the same line or when other text follows it.  */
 static bool
-read_quoted (struct reader *reader, GString *field)
+read_quoted_part (struct reader *reader, GString *field)
 {
-  while (reader->at < reader->end && strchr ("\r\n", *reader->at) == NULL)
+  while (reader->next < reader->end && strchr ("\r\n", *reader->next) == NULL)
     {
-      char c = *reader->at++;
-      bool more = reader->at < reader->end;
+      char c = *reader->next++;
+      bool more = reader->next < reader->end;
       if (c != '"')
         {
           g_string_append_c (field, c);
         }
-      else if (more && *reader->at == '"')
+      else if (more && *reader->next == '"')
         {
-          reader->at++;
+          reader->next++;
           g_string_append_c (field, c);
         }
-      else if (!more || strchr (",\r\n", *reader->at) != NULL)
+      else if (!more || strchr (",\r\n", *reader->next) != NULL)
         {
           return true;
         }
       else
         {
-          cmp_add (reader->complaints, reader->line,
+          cmp_add (reader->errors, reader->line,
                    "text after a closing quote; allowed: a comma, or \"\" for "
                    "a quote inside");
           return false;
         }
     }
-  cmp_add (reader->complaints, reader->line,
-           "a quote is not closed on its line");
+  cmp_add (reader->errors, reader->line, "a quote is not closed on its line");
   return false;
 }
 
-/* Returns true when FIELD has no control characters but tabs.  */
+/* Returns true when FIELD has no control characters other than tabs; else adds
+   an error.  */
 static bool
-is_printable (const struct reader *reader, const GString *field)
+check_printable (const struct reader *reader, const GString *field)
 {
   for (gsize i = 0; i < field->len; i++)
     {
       if (g_ascii_iscntrl (field->str[i]) && field->str[i] != '\t')
         {
-          cmp_add (reader->complaints, reader->line,
+          cmp_add (reader->errors, reader->line,
                    "control character in a field; allowed: printable text");
           return false;
         }
@@ -76,29 +76,32 @@
   return true;
 }
 
-/* Reads one field up to the comma or line break after it.  */
+/* Reads one field up to the comma or line break after it and adds it to
+   FIELDS, with white space trimmed at both ends.  Returns false, with an error
+   added, when the field is malformed.  */
 static bool
 read_field (struct reader *reader, GPtrArray *fields)
 {
   GString *field = g_string_new (NULL);
-  bool whole = true;
-  if (reader->at < reader->end && *reader->at == '"')
+  bool ok = true;
+  if (reader->next < reader->end && *reader->next == '"')
     {
-      reader->at++;
-      whole = read_quoted (reader, field);
+      reader->next++;
+      ok = read_quoted_part (reader, field);
     }
-  while (whole && reader->at < reader->end
-         && strchr (",\r\n", *reader->at) == NULL)
+  while (ok && reader->next < reader->end
+         && strchr (",\r\n", *reader->next) == NULL)
     {
-      g_string_append_c (field, *reader->at++);
+      g_string_append_c (field, *reader->next++);
     }
-  whole = whole && is_printable (reader, field);
+  ok = ok && check_printable (reader, field);
   g_ptr_array_add (fields, g_strstrip (g_string_free (field, FALSE)));
-  return whole;
+  return ok;
 }
 
-/* Reads one row and the line break after it.  Returns false when the rest of
-   the text cannot be read.  */
+/* Reads one row and the line break after it.  Returns false, with an error
+   added, when the row is malformed or has too many fields; the rows after it
+   cannot be read then.  */
 static bool
 read_row (struct reader *reader, struct csv_row *row)
 {
@@ -111,20 +114,20 @@
         }
       if (row->fields->len > FIELDS_MAX)
         {
-          cmp_add (reader->complaints, row->line,
+          cmp_add (reader->errors, row->line,
                    "too many columns; allowed: up to %d", FIELDS_MAX);
           return false;
         }
-      more = reader->at < reader->end && *reader->at == ',';
-      reader->at += more;
+      more = reader->next < reader->end && *reader->next == ',';
+      reader->next += more;
     }
-  if (reader->at < reader->end && *reader->at == '\r')
+  if (reader->next < reader->end && *reader->next == '\r')
     {
-      reader->at++;
+      reader->next++;
     }
-  if (reader->at < reader->end && *reader->at == '\n')
+  if (reader->next < reader->end && *reader->next == '\n')
     {
-      reader->at++;
+      reader->next++;
       reader->line++;
     }
   return true;
@@ -138,54 +141,55 @@
          && *(const char *)g_ptr_array_index (row->fields, 0) == '\0';
 }
 
-/* Returns true when TEXT can be read as text of a bounded length.  */
+/* Returns true when TEXT is UTF-8 and not too long; else adds an error.  */
 static bool
-check_text (const char *text, size_t text_bytes, struct cmp_list *complaints)
+check_text (const char *text, size_t text_bytes, struct cmp_list *errors)
 {
   if (text_bytes > TEXT_BYTES_MAX)
     {
-      cmp_add (complaints, 1, "%zu bytes long; allowed: up to %zu bytes",
+      cmp_add (errors, 1, "%zu bytes long; allowed: up to %zu bytes",
                text_bytes, TEXT_BYTES_MAX);
       return false;
     }
   if (!g_utf8_validate (text, (gssize)text_bytes, NULL))
     {
-      cmp_add (complaints, 1, "not text in UTF-8");
+      cmp_add (errors, 1, "not valid UTF-8 text");
       return false;
     }
   return true;
 }
 
-/* Returns the rows of TEXT (struct csv_row), empty lines left out, with the
-   white space around fields taken off.  Rows after one that cannot be read are
-   missing; COMPLAINTS then says why.  The caller frees the result with
-   g_ptr_array_free.  */
+/* Returns the rows of TEXT as an array of struct csv_row, without empty lines.
+   White space around fields is trimmed, and a byte order mark is skipped.
+   Parsing stops at the first malformed row: the result then has only the rows
+   before it, and the reason is added to ERRORS.  The caller frees the result
+   with g_ptr_array_free.  */
 GPtrArray *
-csv_parse (const char *text, size_t text_bytes, struct cmp_list *complaints)
+csv_parse (const char *text, size_t text_bytes, struct cmp_list *errors)
 {
   GPtrArray *rows = g_ptr_array_new_with_free_func (destroy_row);
-  if (!check_text (text, text_bytes, complaints))
+  if (!check_text (text, text_bytes, errors))
     {
       return rows;
     }
   struct reader reader = {
-    .at = text,
+    .next = text,
     .end = text + text_bytes,
     .line = 1,
-    .complaints = complaints,
+    .errors = errors,
   };
   if (g_str_has_prefix (text, BYTE_ORDER_MARK))
     {
-      reader.at += strlen (BYTE_ORDER_MARK);
+      reader.next += strlen (BYTE_ORDER_MARK);
     }
-  bool whole = true;
-  while (whole && reader.at < reader.end)
+  bool ok = true;
+  while (ok && reader.next < reader.end)
     {
       struct csv_row *row = g_new0 (struct csv_row, 1);
       row->line = reader.line;
       row->fields = g_ptr_array_new_with_free_func (g_free);
-      whole = read_row (&reader, row);
-      if (whole && !is_blank (row))
+      ok = read_row (&reader, row);
+      if (ok && !is_blank (row))
         {
           g_ptr_array_add (rows, row);
         }
--- a/src/config/diff.c
+++ b/src/config/diff.c
@@ -3,19 +3,19 @@
 
 #include <string.h>
 
-/* Two configurations being compared. */
+/* The state of comparing two configurations. */
 struct comparison
 {
   const struct cfg_config *from;
   const struct cfg_config *to;
-  GString *path; /* of what is being compared */
-  GString *out;
+  GString *path; /* of the current value, such as `hosts.NAME' */
+  GString *out;  /* one line per change */
 };
 
-/* One item of a list. */
+/* An item of a list, with the key by which it is matched. */
 struct entry
 {
-  char *key; /* what identifies it */
+  char *key;
   const void *item;
 };
 
@@ -23,10 +23,10 @@
                          const struct sch_schema *schema, const void *from,
                          const void *to);
 
-/* Appends the scalars of ITEM, separated by spaces.  */
+/* Appends the values of ITEM, which are scalars, separated by spaces.  */
 static void
-print_item (const struct cfg_config *config, const struct sch_schema *schema,
-            const void *item, GString *value)
+append_item (const struct cfg_config *config, const struct sch_schema *schema,
+             const void *item, GString *value)
 {
   for (size_t i = 0; i < schema->field_count; i++)
     {
@@ -35,14 +35,16 @@
     }
 }
 
-/* Returns what identifies ITEM: its name, or for a link its data centres.  */
+/* Returns the key of ITEM: its name or, for a link, its two data centres in
+   alphabetical order, so that the direction in which it is listed does not
+   matter.  */
 static char *
-key_of (const struct cfg_config *config, const struct sch_schema *schema,
-        const void *item)
+create_item_key (const struct cfg_config *config,
+                 const struct sch_schema *schema, const void *item)
 {
   GString *key = g_string_new (NULL);
   sch_print (&cfg_schema, config, &schema->fields[0], item, key);
-  if (schema->identity != NULL)
+  if (schema->unique_key != NULL)
     {
       return g_string_free (key, FALSE);
     }
@@ -64,10 +66,11 @@
   g_free (entry);
 }
 
-/* Returns the items of the list FIELD of ITEM, in order.  */
+/* Returns the items of the list FIELD of ITEM in their order, as an array of
+   struct entry.  */
 static GPtrArray *
-entries_of (const struct cfg_config *config, const struct sch_field *field,
-            const void *item)
+list_entries (const struct cfg_config *config, const struct sch_field *field,
+              const void *item)
 {
   GPtrArray *entries = g_ptr_array_new_with_free_func (destroy_entry);
   const char *items = NULL;
@@ -78,14 +81,14 @@
     {
       struct entry *entry = g_new (struct entry, 1);
       entry->item = items + i * field->child->bytes;
-      entry->key = key_of (config, field->child, entry->item);
+      entry->key = create_item_key (config, field->child, entry->item);
       g_ptr_array_add (entries, entry);
     }
   return entries;
 }
 
 static GHashTable *
-index_entries (GPtrArray *entries)
+index_by_key (GPtrArray *entries)
 {
   GHashTable *by_key = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < entries->len; i++)
@@ -96,16 +99,17 @@
   return by_key;
 }
 
-/* Compares the lists of named items FIELD: changed and added ones in the order
-   of TO, then removed ones in the order of FROM.  */
+/* Compares the list FIELD, whose items are matched by their keys.  Reports
+   changed and added items in the order of TO, then removed items in the order
+   of FROM.  */
 static void
 compare_list (struct comparison *comparison, /* NOLINT(misc-no-recursion) */
               const struct sch_field *field, const void *from, const void *to)
 {
-  GPtrArray *old = entries_of (comparison->from, field, from);
-  GPtrArray *new = entries_of (comparison->to, field, to);
-  GHashTable *old_by_key = index_entries (old);
-  GHashTable *new_by_key = index_entries (new);
+  GPtrArray *old = list_entries (comparison->from, field, from);
+  GPtrArray *new = list_entries (comparison->to, field, to);
+  GHashTable *old_by_key = index_by_key (old);
+  GHashTable *new_by_key = index_by_key (new);
   gsize path_bytes = comparison->path->len;
   for (guint i = 0; i < new->len; i++)
     {
@@ -139,7 +143,8 @@
   g_ptr_array_free (new, TRUE);
 }
 
-/* Prints FIELD of ITEM; a list inside an item as one line.  */
+/* Returns the value of FIELD in ITEM as text, or "" when it is omitted.  A
+   list becomes one line, its items separated by commas.  */
 static char *
 print_value (const struct cfg_config *config, const struct sch_field *field,
              const void *item)
@@ -160,13 +165,13 @@
   for (uint32_t i = 0; i < count; i++)
     {
       g_string_append (value, i == 0 ? "" : ", ");
-      print_item (config, field->child, items + i * field->child->bytes,
-                  value);
+      append_item (config, field->child, items + i * field->child->bytes,
+                   value);
     }
   return g_string_free (value, FALSE);
 }
 
-/* Compares one value; that of a secret is not shown.  */
+/* Compares one value.  For a secret, reports only that it changed.  */
 static void
 compare_value (struct comparison *comparison, const struct sch_field *field,
                const void *from, const void *to)
@@ -216,25 +221,26 @@
     }
 }
 
-/* Returns what changes from configuration FROM to TO, one line each:
+/* Returns the changes from configuration FROM to TO, one line each:
    `hosts.NAME: added', `hosts.NAME: removed', `hosts.NAME.key: old -> new'.
-   The order of items does not count.  The caller frees it with g_free.  */
+   The order of items is ignored.  The caller frees the result with g_free.  */
 char *
 cfg_diff (const struct cfg_config *from, const struct cfg_config *to)
 {
-  struct cfg_config from_once = *from;
-  struct cfg_config to_once = *to;
-  from_once.links = cfg_links_once (from, &from_once.link_count);
-  to_once.links = cfg_links_once (to, &to_once.link_count);
+  struct cfg_config undirected_from = *from;
+  struct cfg_config undirected_to = *to;
+  undirected_from.links
+      = cfg_undirected_links (from, &undirected_from.link_count);
+  undirected_to.links = cfg_undirected_links (to, &undirected_to.link_count);
   struct comparison comparison = {
-    .from = &from_once,
-    .to = &to_once,
+    .from = &undirected_from,
+    .to = &undirected_to,
     .path = g_string_new (NULL),
     .out = g_string_new (NULL),
   };
-  compare_map (&comparison, &cfg_schema, &from_once, &to_once);
-  g_free (from_once.links);
-  g_free (to_once.links);
+  compare_map (&comparison, &cfg_schema, &undirected_from, &undirected_to);
+  g_free (undirected_from.links);
+  g_free (undirected_to.links);
   g_string_free (comparison.path, TRUE);
   return g_string_free (comparison.out, FALSE);
 }
--- a/src/config/entry_settings.c
+++ b/src/config/entry_settings.c
@@ -10,9 +10,9 @@
 #define DEPTH_MAX 2
 #define NODES_MAX 200
 #define RELAYS_MAX 16
-#define DURATION_MS_MAX 3600000
-#define MS_US 1000
-#define S_US 1000000
+#define DURATION_MAX 3600000 /* in the unit of the key: ms or s */
+#define US_PER_MS 1000
+#define US_PER_S 1000000
 
 static const char *const log_levels[]
     = { "emerg",  "alert", "crit",  "err", "warning",
@@ -20,29 +20,35 @@
 
 static const struct ens_settings defaults = { .log_level = LOG_INFO };
 
-/* NOLINTBEGIN(bugprone-macro-parentheses): members and units of a table. */
+/* NOLINTBEGIN(bugprone-macro-parentheses): the arguments are member names and
+   units, which cannot be in parentheses. */
+
+/* A required address to listen on.  The name of MEMBER is also the key.  */
 #define ADDRESS(member)                                                       \
   {                                                                           \
-    .key = #member, .type = SCH_STRING, SCH_AT (struct ens_settings, member), \
-    .required = true, .check = sch_check_listen_address                       \
+    .key = #member, .type = SCH_STRING,                                       \
+    SCH_MEMBER (struct ens_settings, member), .required = true,               \
+    .check = sch_check_listen_address                                         \
   }
 
+/* A required duration, in a file unit of UNIT_US microseconds.  */
 #define DURATION(name, member, unit_us)                                       \
   {                                                                           \
-    .key = name, .type = SCH_UNSIGNED, SCH_AT (struct ens_settings, member),  \
-    .required = true, .min = 1, .max = DURATION_MS_MAX, .scale = unit_us      \
+    .key = name, .type = SCH_UNSIGNED,                                        \
+    SCH_MEMBER (struct ens_settings, member), .required = true, .min = 1,     \
+    .max = DURATION_MAX, .scale = unit_us                                     \
   }
 /* NOLINTEND(bugprone-macro-parentheses) */
 
 static const struct sch_field fields[] = {
   { .key = "name",
     .type = SCH_STRING,
-    SCH_AT (struct ens_settings, name),
+    SCH_MEMBER (struct ens_settings, name),
     .required = true,
     .check = sch_check_name },
   { .key = "data_centre",
     .type = SCH_STRING,
-    SCH_AT (struct ens_settings, data_centre),
+    SCH_MEMBER (struct ens_settings, data_centre),
     .required = true,
     .check = sch_check_name },
   ADDRESS (caller_address),
@@ -51,41 +57,41 @@
   ADDRESS (store_address),
   ADDRESS (relay_address),
   { .key = "relays",
-    .type = SCH_STRINGS,
-    SCH_AT (struct ens_settings, relays),
+    .type = SCH_STRING_LIST,
+    SCH_MEMBER (struct ens_settings, relays),
     .max = RELAYS_MAX,
     .check = sch_check_address },
   { .key = "store_partitions",
     .type = SCH_UNSIGNED,
-    SCH_AT (struct ens_settings, store_partitions),
+    SCH_MEMBER (struct ens_settings, store_partitions),
     .required = true,
     .min = 1,
     .max = UINT32_MAX },
   { .key = "descriptors",
     .type = SCH_UNSIGNED,
-    SCH_AT (struct ens_settings, descriptors),
+    SCH_MEMBER (struct ens_settings, descriptors),
     .required = true,
     .min = 512,
     .max = UINT32_MAX },
-  DURATION ("drain_ms", drain_us, MS_US),
-  DURATION ("config_ms", config_us, MS_US),
-  DURATION ("revoke_ms", revoke_us, MS_US),
-  DURATION ("stop_s", stop_us, S_US),
-  DURATION ("retry_window_s", retry_window_us, S_US),
+  DURATION ("drain_ms", drain_us, US_PER_MS),
+  DURATION ("config_ms", config_us, US_PER_MS),
+  DURATION ("revoke_ms", revoke_us, US_PER_MS),
+  DURATION ("stop_s", stop_us, US_PER_S),
+  DURATION ("retry_window_s", retry_window_us, US_PER_S),
   { .key = "retry_ratio",
     .type = SCH_FRACTION,
-    SCH_AT (struct ens_settings, retry_ratio),
+    SCH_MEMBER (struct ens_settings, retry_ratio),
     .required = true,
     .min_fraction = 0,
     .max_fraction = 1 },
   { .key = "retry_slack",
     .type = SCH_UNSIGNED,
-    SCH_AT (struct ens_settings, retry_slack),
+    SCH_MEMBER (struct ens_settings, retry_slack),
     .required = true,
     .max = UINT32_MAX },
   { .key = "log_level",
     .type = SCH_CHOICE,
-    SCH_AT (struct ens_settings, log_level),
+    SCH_MEMBER (struct ens_settings, log_level),
     .choices = log_levels },
 };
 
@@ -97,37 +103,38 @@
 };
 
 static const struct yt_limits limits = {
-  .text_bytes = SETTINGS_BYTES_MAX,
-  .depth = DEPTH_MAX,
-  .nodes = NODES_MAX,
+  .text_bytes_max = SETTINGS_BYTES_MAX,
+  .depth_max = DEPTH_MAX,
+  .nodes_max = NODES_MAX,
 };
 
 /* Reads the settings of an entry daemon from the YAML file PATH.  Returns NULL
-   with ERR_SETTINGS when anything is wrong; COMPLAINTS then has one line for
-   each error.  The caller frees the result with ens_destroy.  */
+   with ERR_SETTINGS when the file cannot be read or has errors, and adds one
+   line for each error to MESSAGES.  The caller frees the result with
+   ens_destroy.  */
 struct ens_settings *
-ens_load (const char *path, GString *complaints, GError **error)
+ens_load (const char *path, GString *messages, GError **error)
 {
-  struct cmp_list list = { .file_name = path, .text = complaints };
+  struct cmp_list errors = { .file_name = path, .text = messages };
   char *text = NULL;
   size_t bytes = 0;
-  GError *unread = NULL;
-  if (!cfg_read_file (path, SETTINGS_BYTES_MAX, &text, &bytes, &unread))
+  GError *read_error = NULL;
+  if (!cfg_read_file (path, SETTINGS_BYTES_MAX, &text, &bytes, &read_error))
     {
-      g_string_append_printf (complaints, "%s\n", unread->message);
-      g_propagate_error (error, unread);
+      g_string_append_printf (messages, "%s\n", read_error->message);
+      g_propagate_error (error, read_error);
       return NULL;
     }
   struct ens_settings *settings = g_new0 (struct ens_settings, 1);
-  struct yt_node *root = yt_parse (text, bytes, &limits, &list);
+  struct yt_node *root = yt_parse (text, bytes, &limits, &errors);
   if (root != NULL)
     {
-      sch_read (&schema, root, settings, &list);
+      sch_read (&schema, root, settings, &errors);
     }
   yt_destroy (root);
   g_free (text);
-  cmp_finish (&list, ERR_SETTINGS, error);
-  if (list.count > 0)
+  cmp_set_error (&errors, ERR_SETTINGS, error);
+  if (errors.count > 0)
     {
       ens_destroy (settings);
       return NULL;
--- a/src/config/entry_settings.h
+++ b/src/config/entry_settings.h
@@ -1,4 +1,4 @@
-/* Settings of an entry daemon on the users' platform. */
+/* Settings of an entry daemon, read from a YAML file. */
 #ifndef CONFIG_ENTRY_SETTINGS_H
 #define CONFIG_ENTRY_SETTINGS_H
 
@@ -9,25 +9,25 @@
 {
   char *name; /* of this daemon, unique in the fleet */
   char *data_centre;
-  char *caller_address; /* IP:PORT */
-  char *ready_address;
-  char *metrics_address;
-  char *store_address;
-  char *relay_address;       /* where other daemons ask this one */
-  char **relays;             /* addresses of daemons to ask; NULL-terminated */
-  uint32_t store_partitions; /* of each topic */
-  uint32_t descriptors;
-  int64_t drain_us;  /* a leaving endpoint may get work so long */
-  int64_t config_us; /* a configuration is in force after this */
-  int64_t revoke_us; /* a removed key may be served so long */
-  int64_t stop_us;   /* from SIGTERM to SIGKILL */
-  int64_t retry_window_us;
-  double retry_ratio;   /* repeats for each request */
-  uint32_t retry_slack; /* repeats beside these, of all daemons */
-  int log_level;        /* LOG_ERR and so on */
+  char *caller_address;  /* IP:PORT to listen on for clients' requests */
+  char *ready_address;   /* IP:PORT to listen on for readiness probes */
+  char *metrics_address; /* IP:PORT to listen on for metrics */
+  char *store_address;   /* IP:PORT of the store to connect to */
+  char *relay_address;   /* IP:PORT to listen on for other daemons' requests */
+  char **relays;         /* IP:PORT of daemons that relay; NULL-terminated */
+  uint32_t store_partitions; /* of each topic in the store */
+  uint32_t descriptors;      /* file descriptors that the process may open */
+  int64_t drain_us;  /* how long a leaving endpoint may still get requests */
+  int64_t config_us; /* within this, a new configuration is in force */
+  int64_t revoke_us; /* how long a revoked API key may still be served */
+  int64_t stop_us;   /* time from SIGTERM to SIGKILL */
+  int64_t retry_window_us; /* sliding window of the retry budget */
+  double retry_ratio;      /* retries per request in the window */
+  uint32_t retry_slack;    /* additional retries per window, for all daemons */
+  int log_level;           /* LOG_EMERG to LOG_DEBUG */
 };
 
-struct ens_settings *ens_load (const char *path, GString *complaints,
+struct ens_settings *ens_load (const char *path, GString *messages,
                                GError **error);
 void ens_destroy (struct ens_settings *settings);
 
--- a/src/config/file.h
+++ b/src/config/file.h
@@ -1,4 +1,4 @@
-/* Reading of a whole file in bounded memory. */
+/* Reads a whole file into memory, up to a maximum size. */
 #ifndef CONFIG_FILE_H
 #define CONFIG_FILE_H
 
--- a/src/config/inventory.h
+++ b/src/config/inventory.h
@@ -1,4 +1,5 @@
-/* The asset register's CSV as hosts of a configuration. */
+/* Imports the asset register, a CSV file with one row per host, into the
+   fleet's configuration. */
 #ifndef CONFIG_INVENTORY_H
 #define CONFIG_INVENTORY_H
 
@@ -7,7 +8,7 @@
 #include <glib.h>
 #include <stddef.h>
 
-/* A file that was read. */
+/* The content of a file, and its name for error messages. */
 struct inv_file
 {
   const char *name;
@@ -16,7 +17,7 @@
 };
 
 struct cfg_config *inv_import (const struct inv_file *csv,
-                               const struct inv_file *base,
-                               GString *complaints, GError **error);
+                               const struct inv_file *base, GString *messages,
+                               GError **error);
 
 #endif
--- a/src/config/parse.c
+++ b/src/config/parse.c
@@ -8,44 +8,44 @@
 #define NODES_MAX 200000
 
 static const struct yt_limits limits = {
-  .text_bytes = CFG_TEXT_BYTES_MAX,
-  .depth = DEPTH_MAX,
-  .nodes = NODES_MAX,
+  .text_bytes_max = CFG_TEXT_BYTES_MAX,
+  .depth_max = DEPTH_MAX,
+  .nodes_max = NODES_MAX,
 };
 
-/* Returns the line of item INDEX of the list SECTION.  */
+/* Returns the line of item INDEX of the list SECTION in ROOT.  */
 static uint32_t
-line_of_item (const struct yt_node *root, const char *section, uint32_t index)
+item_line (const struct yt_node *root, const char *section, uint32_t index)
 {
   const struct yt_node *list = yt_get (root, section);
   const struct yt_node *item = g_ptr_array_index (list->items, index);
   return item->line;
 }
 
-/* Complains of links from a data centre to itself and of pairs listed
-   twice.  */
+/* Adds errors for links from a data centre to itself and for pairs of data
+   centres that are listed more than once.  */
 static void
 check_links (const struct cfg_config *config, const struct yt_node *root,
-             struct cmp_list *complaints)
+             struct cmp_list *errors)
 {
   GHashTable *seen
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   for (uint32_t i = 0; i < config->link_count; i++)
     {
       const struct cfg_link *link = &config->links[i];
-      uint32_t line = line_of_item (root, "links", i);
+      uint32_t line = item_line (root, "links", i);
       gint64 pair = ((gint64)MIN (link->from, link->to) << 32)
                     | MAX (link->from, link->to);
       if (link->from == link->to)
         {
-          cmp_add (complaints, line,
+          cmp_add (errors, line,
                    "links[%u].to: the same data centre as from; allowed: "
                    "another one",
                    i);
         }
       else if (g_hash_table_contains (seen, &pair))
         {
-          cmp_add (complaints, line,
+          cmp_add (errors, line,
                    "links[%u]: the pair is listed already; allowed: once, for "
                    "both directions",
                    i);
@@ -55,10 +55,11 @@
   g_hash_table_destroy (seen);
 }
 
-/* Complains of keys that the role of host INDEX needs or does not have.  */
+/* Adds errors for keys that host INDEX lacks although its role needs them, and
+   for keys that its role does not allow.  */
 static void
-check_host (const struct cfg_config *config, uint32_t index, uint32_t line,
-            struct cmp_list *complaints)
+check_host_role (const struct cfg_config *config, uint32_t index,
+                 uint32_t line, struct cmp_list *errors)
 {
   const struct cfg_host *host = &config->hosts[index];
   const struct
@@ -79,13 +80,12 @@
           = needs[i].role == CFG_HOST_ENGINE ? "engine" : "service";
       if (needs[i].role == host->role && !needs[i].present)
         {
-          cmp_add (complaints, line,
-                   "hosts[%u].%s: is missing; role %s needs it", index,
-                   needs[i].key, role);
+          cmp_add (errors, line, "hosts[%u].%s: is missing; role %s needs it",
+                   index, needs[i].key, role);
         }
       else if (needs[i].role != host->role && needs[i].present)
         {
-          cmp_add (complaints, line,
+          cmp_add (errors, line,
                    "hosts[%u].%s: does not fit the role; allowed: only for "
                    "role %s",
                    index, needs[i].key, role);
@@ -93,47 +93,47 @@
     }
 }
 
-/* Complains of TEXT when an earlier item has it; KEY says where TEXT is.  */
+/* Adds an error when TEXT, the value of KEY in item INDEX of SECTION, is in
+   SEEN already; else adds TEXT to SEEN.  */
 static void
 check_unique (GHashTable *seen, const char *text, const char *section,
               uint32_t index, const char *key, uint32_t line,
-              struct cmp_list *complaints)
+              struct cmp_list *errors)
 {
   if (!g_hash_table_add (seen, (gpointer)text))
     {
-      cmp_add (complaints, line,
-               "%s[%u].%s: an earlier one has it already; allowed: once",
+      cmp_add (errors, line,
+               "%s[%u].%s: an earlier item has the same value; allowed: once",
                section, index, key);
     }
 }
 
-/* Complains of what one item alone does not show: hosts and accounts that
-   share what identifies them, links listed twice, and keys that do not fit a
-   host's role.  */
+/* Checks what the schema cannot express: addresses of hosts and tokens of
+   accounts are unique, links are listed once, and the keys of a host fit its
+   role.  */
 static void
-check_whole (const struct cfg_config *config, const struct yt_node *root,
-             struct cmp_list *complaints)
+check_consistency (const struct cfg_config *config, const struct yt_node *root,
+                   struct cmp_list *errors)
 {
   GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
   for (uint32_t i = 0; i < config->host_count; i++)
     {
-      uint32_t line = line_of_item (root, "hosts", i);
-      check_host (config, i, line, complaints);
+      uint32_t line = item_line (root, "hosts", i);
+      check_host_role (config, i, line, errors);
       check_unique (seen, config->hosts[i].address, "hosts", i, "address",
-                    line, complaints);
+                    line, errors);
     }
   g_hash_table_remove_all (seen);
   for (uint32_t i = 0; i < config->account_count; i++)
     {
       check_unique (seen, config->accounts[i].token_sha256, "accounts", i,
-                    "token_sha256", line_of_item (root, "accounts", i),
-                    complaints);
+                    "token_sha256", item_line (root, "accounts", i), errors);
     }
   g_hash_table_destroy (seen);
-  check_links (config, root, complaints);
+  check_links (config, root, errors);
 }
 
-/* Replaces the links, listed once, by one for each direction.  */
+/* Replaces each link by two, one for each direction.  */
 static void
 add_reverse_links (struct cfg_config *config)
 {
@@ -141,37 +141,39 @@
   struct cfg_link *links = g_new (struct cfg_link, 2 * pairs);
   for (size_t i = 0; i < pairs; i++)
     {
-      struct cfg_link *forth = &links[2 * i];
-      struct cfg_link *back = &links[2 * i + 1];
-      *forth = config->links[i];
-      *back = config->links[i];
-      back->from = forth->to;
-      back->to = forth->from;
+      struct cfg_link *forward = &links[2 * i];
+      struct cfg_link *reverse = &links[2 * i + 1];
+      *forward = config->links[i];
+      *reverse = config->links[i];
+      reverse->from = forward->to;
+      reverse->to = forward->from;
     }
   g_free (config->links);
   config->links = links;
   config->link_count *= 2;
 }
 
-/* Returns the tree of the configuration TEXT, or NULL with a complaint.  */
+/* Parses the YAML text of a configuration, without checking its keys.  Returns
+   the tree, which the caller frees with yt_destroy, or NULL with an error
+   added.  */
 struct yt_node *
-cfg_parse_tree (const char *text, size_t text_bytes,
-                struct cmp_list *complaints)
+cfg_parse_tree (const char *text, size_t text_bytes, struct cmp_list *errors)
 {
-  return yt_parse (text, text_bytes, &limits, complaints);
+  return yt_parse (text, text_bytes, &limits, errors);
 }
 
-/* Reads a configuration from ROOT, which may be NULL.  Returns NULL, with
-   complaints, when anything is wrong.  */
+/* Reads a configuration from the tree ROOT, which is NULL after a failed
+   parse. Returns NULL when ERRORS has any error, added here or before.  The
+   caller frees the result with cfg_config_destroy.  */
 struct cfg_config *
-cfg_read_tree (const struct yt_node *root, struct cmp_list *complaints)
+cfg_read_tree (const struct yt_node *root, struct cmp_list *errors)
 {
   struct cfg_config *config = cfg_config_create ();
-  if (root != NULL && sch_read (&cfg_schema, root, config, complaints))
+  if (root != NULL && sch_read (&cfg_schema, root, config, errors))
     {
-      check_whole (config, root, complaints);
+      check_consistency (config, root, errors);
     }
-  if (complaints->count > 0)
+  if (errors->count > 0)
     {
       cfg_config_destroy (config);
       return NULL;
@@ -181,18 +183,18 @@
   return config;
 }
 
-/* Reads a configuration from TEXT, YAML of TEXT_BYTES.  Returns NULL with
-   ERR_CONFIG_INVALID when anything is wrong; COMPLAINTS then has one line for
-   each error, `FILE_NAME:line: key: what is wrong; allowed: ...'.  The caller
-   frees the result with cfg_config_destroy.  */
+/* Parses the configuration in the YAML text TEXT of TEXT_BYTES.  Returns NULL
+   with ERR_CONFIG_INVALID when it is invalid, and adds one line for each error
+   to MESSAGES: `FILE_NAME:line: key: problem; allowed: ...'.  The caller frees
+   the result with cfg_config_destroy.  */
 struct cfg_config *
 cfg_parse (const char *file_name, const char *text, size_t text_bytes,
-           GString *complaints, GError **error)
+           GString *messages, GError **error)
 {
-  struct cmp_list list = { .file_name = file_name, .text = complaints };
-  struct yt_node *root = cfg_parse_tree (text, text_bytes, &list);
-  struct cfg_config *config = cfg_read_tree (root, &list);
+  struct cmp_list errors = { .file_name = file_name, .text = messages };
+  struct yt_node *root = cfg_parse_tree (text, text_bytes, &errors);
+  struct cfg_config *config = cfg_read_tree (root, &errors);
   yt_destroy (root);
-  cmp_finish (&list, ERR_CONFIG_INVALID, error);
+  cmp_set_error (&errors, ERR_CONFIG_INVALID, error);
   return config;
 }
--- a/src/config/recognise.c
+++ b/src/config/recognise.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* Returns how many keys of ROOT are fields of SCHEMA.  */
+/* Returns how many fields of SCHEMA have their key in ROOT.  */
 static uint32_t
 count_known_keys (const struct yt_node *root, const struct sch_schema *schema)
 {
@@ -15,8 +15,9 @@
   return known;
 }
 
-/* Returns true when TEXT has more keys of settings than of a configuration.
-   Text that is not YAML counts as a configuration.  */
+/* Returns true when the file TEXT is a daemon's settings rather than a
+   configuration: when more of its top-level keys are known in settings than in
+   a configuration.  Text that is not valid YAML counts as a configuration.  */
 bool
 cfg_is_settings (const char *text, size_t text_bytes)
 {
--- a/src/config/schema.c
+++ b/src/config/schema.c
@@ -5,37 +5,40 @@
 
 #include <string.h>
 
-#define KEYS_MAX 64
-#define QUOTED_BYTES 64
-#define KEY_CHARACTERS_SHOWN 40
+#define KEYS_MAX 64     /* of one schema */
+#define QUOTED_BYTES 64 /* buffer for a quoted value */
+#define KEY_CHARACTERS_MAX 40
 
-static void read_map (struct sch_walk *walk, const struct sch_schema *schema,
+static void read_map (struct sch_reader *reader,
+                      const struct sch_schema *schema,
                       const struct yt_node *node, void *out);
 
-/* Adds KEY, cut to 40 characters, to the path.  */
+/* Appends KEY, cut to KEY_CHARACTERS_MAX, to the path of the value that is
+   being read.  */
 static void
-append_key (struct sch_walk *walk, const char *key)
+append_key (struct sch_reader *reader, const char *key)
 {
-  if (walk->path->len > 0)
+  if (reader->path->len > 0)
     {
-      g_string_append_c (walk->path, '.');
+      g_string_append_c (reader->path, '.');
     }
   const char *end = key;
-  for (int i = 0; i < KEY_CHARACTERS_SHOWN && *end != '\0'; i++)
+  for (int i = 0; i < KEY_CHARACTERS_MAX && *end != '\0'; i++)
     {
       end = g_utf8_next_char (end);
     }
-  g_string_append_len (walk->path, key, end - key);
+  g_string_append_len (reader->path, key, end - key);
 }
 
-/* Complains of KEY, naming the nearest known one.  */
+/* Adds an error for KEY, which SCHEMA does not have.  Suggests the known key
+   that is nearest in spelling.  */
 static void
-complain_of_key (struct sch_walk *walk, const struct sch_schema *schema,
-                 const struct yt_node *key)
+report_unknown_key (struct sch_reader *reader, const struct sch_schema *schema,
+                    const struct yt_node *key)
 {
-  if (cmp_is_full (walk->complaints))
+  if (cmp_is_full (reader->errors))
     {
-      walk->complaints->count++;
+      reader->errors->count++;
       return;
     }
   const char *known[KEYS_MAX];
@@ -46,22 +49,23 @@
       g_string_append_printf (allowed, "%s%s", i == 0 ? "" : ", ", known[i]);
     }
   const char *nearest = near_word (key->text, known, schema->field_count);
-  append_key (walk, key->text);
+  append_key (reader, key->text);
   if (nearest != NULL)
     {
-      cmp_add (walk->complaints, key->line,
+      cmp_add (reader->errors, key->line,
                "%s: unknown key, did you mean '%s'; allowed: %s",
-               walk->path->str, nearest, allowed->str);
+               reader->path->str, nearest, allowed->str);
     }
   else
     {
-      cmp_add (walk->complaints, key->line, "%s: unknown key; allowed: %s",
-               walk->path->str, allowed->str);
+      cmp_add (reader->errors, key->line, "%s: unknown key; allowed: %s",
+               reader->path->str, allowed->str);
     }
   g_string_free (allowed, TRUE);
 }
 
-/* Returns the index of the field called KEY, or the number of fields.  */
+/* Returns the index of the field with the key KEY, or the number of fields
+   when there is none.  */
 static size_t
 find_field (const struct sch_schema *schema, const char *key)
 {
@@ -73,12 +77,14 @@
   return i;
 }
 
-/* Complains of an item whose identity an earlier one has.  */
+/* Adds an error when an earlier item of the list has the same value of the
+   unique key as ITEM.  SEEN maps each value to the node of the first item with
+   it.  */
 static void
-check_identity (struct sch_walk *walk, const struct sch_schema *schema,
-                const struct yt_node *item, GHashTable *seen)
+check_unique_key (struct sch_reader *reader, const struct sch_schema *schema,
+                  const struct yt_node *item, GHashTable *seen)
 {
-  const struct yt_node *name = yt_get (item, schema->identity);
+  const struct yt_node *name = yt_get (item, schema->unique_key);
   if (name == NULL || name->type != YT_SCALAR)
     {
       return;
@@ -89,32 +95,34 @@
       g_hash_table_insert (seen, name->text, (gpointer)name);
       return;
     }
-  static const struct sch_field shown = { .type = SCH_TEXT };
+  static const struct sch_field quotable = { .type = SCH_CHAR_ARRAY };
   char quoted[QUOTED_BYTES];
-  cmp_add (walk->complaints, name->line,
-           "%s.%s: %s stands on line %u already; allowed: once",
-           walk->path->str, schema->identity,
-           sch_quote (&shown, name->text, quoted, sizeof quoted),
+  cmp_add (reader->errors, name->line,
+           "%s.%s: %s is already used on line %u; allowed: once",
+           reader->path->str, schema->unique_key,
+           sch_quote (&quotable, name->text, quoted, sizeof quoted),
            earlier->line);
 }
 
-/* Reads the list NODE into a newly allocated array of structs.  */
+/* Reads the list NODE into a new array of structs, and stores the array and
+   its length in OUT.  */
 static void
-read_list (struct sch_walk *walk, /* NOLINT(misc-no-recursion) */
+read_list (struct sch_reader *reader, /* NOLINT(misc-no-recursion) */
            const struct sch_field *field, const struct yt_node *node,
            void *out)
 {
   if (node->type != YT_LIST)
     {
-      cmp_add (walk->complaints, node->line,
-               "%s: is not a list; allowed: a list of maps", walk->path->str);
+      cmp_add (reader->errors, node->line,
+               "%s: is not a list; allowed: a list of maps",
+               reader->path->str);
       return;
     }
   if (node->items->len > field->max)
     {
-      cmp_add (walk->complaints, node->line,
+      cmp_add (reader->errors, node->line,
                "%s: %u items; allowed: up to %" G_GUINT64_FORMAT,
-               walk->path->str, node->items->len, field->max);
+               reader->path->str, node->items->len, field->max);
       return;
     }
   const struct sch_schema *schema = field->child;
@@ -123,79 +131,79 @@
   memcpy ((char *)out + field->offset, &items, sizeof items);
   memcpy ((char *)out + field->count_offset, &count, sizeof count);
   GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
-  gsize path_bytes = walk->path->len;
+  gsize path_bytes = reader->path->len;
   for (uint32_t i = 0; i < count; i++)
     {
       const struct yt_node *item = g_ptr_array_index (node->items, i);
-      g_string_append_printf (walk->path, "[%u]", i);
-      read_map (walk, schema, item, items + i * schema->bytes);
-      if (schema->identity != NULL)
+      g_string_append_printf (reader->path, "[%u]", i);
+      read_map (reader, schema, item, items + i * schema->bytes);
+      if (schema->unique_key != NULL)
         {
-          check_identity (walk, schema, item, seen);
+          check_unique_key (reader, schema, item, seen);
         }
-      g_string_truncate (walk->path, path_bytes);
+      g_string_truncate (reader->path, path_bytes);
     }
   g_hash_table_destroy (seen);
 }
 
 /* Reads NODE into the member of OUT that FIELD describes.  */
 static void
-read_field (struct sch_walk *walk, /* NOLINT(misc-no-recursion) */
+read_field (struct sch_reader *reader, /* NOLINT(misc-no-recursion) */
             const struct sch_field *field, const struct yt_node *node,
             void *out)
 {
-  char *place = (char *)out + field->offset;
+  char *member = (char *)out + field->offset;
   switch (field->type)
     {
     case SCH_MAP:
-      read_map (walk, field->child, node, place);
+      read_map (reader, field->child, node, member);
       break;
     case SCH_LIST:
-      read_list (walk, field, node, out);
+      read_list (reader, field, node, out);
       break;
-    case SCH_STRINGS:
-      sch_read_strings (walk, field, node, place);
+    case SCH_STRING_LIST:
+      sch_read_strings (reader, field, node, member);
       break;
     default:
-      sch_read_scalar (walk, field, node, place);
+      sch_read_scalar (reader, field, node, member);
       break;
     }
 }
 
-/* Reads one key and its value.  SEEN has the lines of the keys before it.  */
+/* Reads one key and its value into OUT.  SEEN has the line of each field that
+   was read before, or 0.  */
 static void
-read_entry (struct sch_walk *walk, /* NOLINT(misc-no-recursion) */
-            const struct sch_schema *schema, const struct yt_node *key,
-            const struct yt_node *value, uint32_t *seen, void *out)
+read_pair (struct sch_reader *reader, /* NOLINT(misc-no-recursion) */
+           const struct sch_schema *schema, const struct yt_node *key,
+           const struct yt_node *value, uint32_t *seen, void *out)
 {
   if (key->type != YT_SCALAR)
     {
-      cmp_add (walk->complaints, key->line, "%s: a key is a %s; allowed: text",
-               walk->path->str, key->type == YT_LIST ? "list" : "map");
+      cmp_add (reader->errors, key->line, "%s: a key is a %s; allowed: text",
+               reader->path->str, key->type == YT_LIST ? "list" : "map");
       return;
     }
   size_t index = find_field (schema, key->text);
   if (index == schema->field_count)
     {
-      complain_of_key (walk, schema, key);
+      report_unknown_key (reader, schema, key);
       return;
     }
-  append_key (walk, key->text);
+  append_key (reader, key->text);
   if (seen[index] != 0)
     {
-      cmp_add (walk->complaints, key->line,
-               "%s: the key stands on line %u already; allowed: once",
-               walk->path->str, seen[index]);
+      cmp_add (reader->errors, key->line,
+               "%s: duplicate key, first set on line %u; allowed: once",
+               reader->path->str, seen[index]);
       return;
     }
   seen[index] = key->line;
-  read_field (walk, &schema->fields[index], value, out);
+  read_field (reader, &schema->fields[index], value, out);
 }
 
-/* Reads the map NODE into the struct OUT, which is set to its defaults
-   first.  */
+/* Sets the struct OUT to its defaults and reads the map NODE into it.  */
 static void
-read_map (struct sch_walk *walk, /* NOLINT(misc-no-recursion) */
+read_map (struct sch_reader *reader, /* NOLINT(misc-no-recursion) */
           const struct sch_schema *schema, const struct yt_node *node,
           void *out)
 {
@@ -205,53 +213,53 @@
     }
   if (node->type != YT_MAP)
     {
-      cmp_add (walk->complaints, node->line,
+      cmp_add (reader->errors, node->line,
                "%s: is not a map; allowed: keys with values",
-               walk->path->len == 0 ? "the file" : walk->path->str);
+               reader->path->len == 0 ? "the file" : reader->path->str);
       return;
     }
   uint32_t seen[KEYS_MAX] = { 0 };
-  gsize path_bytes = walk->path->len;
+  gsize path_bytes = reader->path->len;
   for (guint i = 0; i + 1 < node->items->len; i += 2)
     {
-      read_entry (walk, schema, g_ptr_array_index (node->items, i),
-                  g_ptr_array_index (node->items, i + 1), seen, out);
-      g_string_truncate (walk->path, path_bytes);
+      read_pair (reader, schema, g_ptr_array_index (node->items, i),
+                 g_ptr_array_index (node->items, i + 1), seen, out);
+      g_string_truncate (reader->path, path_bytes);
     }
   for (size_t i = 0; i < schema->field_count; i++)
     {
       if (schema->fields[i].required && seen[i] == 0)
         {
-          cmp_add (walk->complaints, node->line, "%s%s%s: is missing",
-                   walk->path->str, path_bytes == 0 ? "" : ".",
+          cmp_add (reader->errors, node->line, "%s%s%s: is missing",
+                   reader->path->str, path_bytes == 0 ? "" : ".",
                    schema->fields[i].key);
         }
     }
 }
 
 static void
-destroy_names (gpointer data)
+destroy_indices (gpointer data)
 {
   g_hash_table_destroy (data);
 }
 
 /* Reads ROOT into OUT, a struct that SCHEMA describes.  Adds every error to
-   COMPLAINTS and returns true when there was none.  What was allocated is in
-   OUT in either case; the caller frees it.  */
+   ERRORS and returns true if there was none.  OUT owns the memory allocated
+   for its values, also after an error; the caller frees it.  */
 bool
 sch_read (const struct sch_schema *schema, const struct yt_node *root,
-          void *out, struct cmp_list *complaints)
+          void *out, struct cmp_list *errors)
 {
-  struct sch_walk walk = {
+  struct sch_reader reader = {
     .root = root,
-    .complaints = complaints,
+    .errors = errors,
     .path = g_string_new (NULL),
-    .targets
-    = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, destroy_names),
+    .indices_by_list
+    = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, destroy_indices),
   };
-  uint32_t before = complaints->count;
-  read_map (&walk, schema, root, out);
-  g_hash_table_destroy (walk.targets);
-  g_string_free (walk.path, TRUE);
-  return complaints->count == before;
+  uint32_t before = errors->count;
+  read_map (&reader, schema, root, out);
+  g_hash_table_destroy (reader.indices_by_list);
+  g_string_free (reader.path, TRUE);
+  return errors->count == before;
 }
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,5 +1,6 @@
-/* Tables that say which keys a YAML map has and where each value goes in a
-   struct.  Reading, printing and comparing all follow the same tables. */
+/* Schemas: tables that list the keys of a YAML map, the valid values of each
+   key, and the struct member that holds the value.  Configurations and
+   settings are read, written and compared with the same tables. */
 #ifndef CONFIG_SCHEMA_H
 #define CONFIG_SCHEMA_H
 
@@ -11,62 +12,66 @@
 
 enum sch_type
 {
-  SCH_UNSIGNED, /* uint32_t, uint64_t or int64_t; value times scale */
+  SCH_UNSIGNED, /* uint32_t, uint64_t or int64_t: value times `scale' */
   SCH_FRACTION, /* double */
   SCH_BOOL,
-  SCH_CHOICE,    /* an enum of choices[] */
-  SCH_TEXT,      /* char[] */
-  SCH_STRING,    /* char *, allocated */
-  SCH_REFERENCE, /* uint32_t: index of a name in the root's list `target' */
-  SCH_STRINGS,   /* char **, allocated, NULL-terminated */
-  SCH_MAP,       /* a struct inside the struct */
-  SCH_LIST,      /* pointer to an array of structs, and its length */
+  SCH_CHOICE,      /* enum: index in `choices' */
+  SCH_CHAR_ARRAY,  /* char[] */
+  SCH_STRING,      /* char *, freed with g_free */
+  SCH_REFERENCE,   /* uint32_t: index of an item in `target_list' */
+  SCH_STRING_LIST, /* char **, freed with g_strfreev */
+  SCH_MAP,         /* nested struct */
+  SCH_LIST,        /* pointer to an array of structs, and its length */
   SCH_TYPE_COUNT
 };
 
-/* Returns NULL when TEXT is allowed, else what is allowed.  */
-typedef const char *(*sch_check) (const char *text);
+/* Returns NULL when TEXT is valid, else a description of the valid values for
+   the error message.  */
+typedef const char *(*sch_validator) (const char *text);
 
 struct sch_schema;
 
+/* A key of a map and the struct member that holds its value. */
 struct sch_field
 {
   const char *key;
-  size_t offset; /* in the struct */
-  size_t bytes;  /* of the member */
-  uint64_t min;  /* SCH_UNSIGNED: before scaling; lists: length */
-  uint64_t max;
-  uint64_t scale; /* 0 means 1 */
-  double min_fraction;
+  size_t offset;       /* in the struct */
+  size_t bytes;        /* of the member */
+  uint64_t min;        /* SCH_UNSIGNED: value before scaling; lists: length */
+  uint64_t max;        /* as min */
+  uint64_t scale;      /* factor from the unit in the file; 0 means 1 */
+  double min_fraction; /* SCH_FRACTION */
   double max_fraction;
-  const char *const *choices; /* NULL-terminated */
-  sch_check check;            /* of text */
-  const char *target;
-  const struct sch_schema *child; /* SCH_MAP, SCH_LIST */
-  size_t count_offset;            /* SCH_LIST: a uint32_t */
+  const char *const *choices;     /* SCH_CHOICE: NULL-terminated */
+  sch_validator check;            /* of the text; NULL: any text is valid */
+  const char *target_list;        /* SCH_REFERENCE: key of a top-level list */
+  const struct sch_schema *child; /* SCH_MAP, SCH_LIST: of struct or items */
+  size_t count_offset;            /* SCH_LIST: of the length, a uint32_t */
   enum sch_type type;
   bool required;
-  bool omit_zero; /* not printed while it is zero */
-  bool secret;    /* never quoted in a message */
+  bool omit_zero; /* the key is not written when the value is zero */
+  bool secret;    /* the value is never shown in a message */
 };
 
+/* A map and the struct that holds its values. */
 struct sch_schema
 {
-  size_t bytes;         /* of the struct */
-  const void *defaults; /* a struct, or NULL for zeros */
-  const char *identity; /* key whose values differ in a list; or NULL */
+  size_t bytes;           /* of the struct */
+  const void *defaults;   /* such a struct, or NULL for all zeros */
+  const char *unique_key; /* key whose value is unique in a list, or NULL */
   const struct sch_field *fields;
   size_t field_count;
 };
 
-/* Offset and size of MEMBER, for a table entry.  */
-#define SCH_AT(type, member)                                                  \
+/* Offset and size of MEMBER of TYPE, for a struct sch_field.  */
+#define SCH_MEMBER(type, member)                                              \
   .offset = offsetof (type, member), .bytes = sizeof (((type *)0)->member)
 
+/* Value of a reference that is not set. */
 #define SCH_NO_INDEX UINT32_MAX
 
 bool sch_read (const struct sch_schema *schema, const struct yt_node *root,
-               void *out, struct cmp_list *complaints);
+               void *out, struct cmp_list *errors);
 bool sch_is_omitted (const struct sch_field *field, const void *item);
 void sch_print (const struct sch_schema *root_schema, const void *root,
                 const struct sch_field *field, const void *item,
@@ -74,6 +79,7 @@
 const char *sch_quote (const struct sch_field *field, const char *text,
                        char *buffer, size_t buffer_bytes);
 
+/* Functions of type sch_validator. */
 const char *sch_check_name (const char *text);
 const char *sch_check_sha256 (const char *text);
 const char *sch_check_address (const char *text);
--- a/src/config/schema_check.c
+++ b/src/config/schema_check.c
@@ -1,4 +1,5 @@
-/* What the text of a value may be. */
+/* Validation of text values.  Each function returns NULL when TEXT is valid,
+   else a description of the valid values. */
 #include "config/schema.h"
 
 #include <arpa/inet.h>
@@ -7,7 +8,9 @@
 #define PORT_MAX 65535
 #define SHA256_HEX_DIGITS 64
 
-/* Allows names of hosts, accounts and the like.  */
+/* Accepts names of hosts, accounts, models and the like.  The maximum length
+   of 63 bytes is not checked here; the size of an SCH_CHAR_ARRAY member limits
+   the length.  */
 const char *
 sch_check_name (const char *text)
 {
@@ -20,7 +23,7 @@
   return "1 to 63 of letters, digits, '.', '_' and '-'";
 }
 
-/* Allows a SHA-256 sum.  */
+/* Accepts a SHA-256 digest in lower-case hexadecimal digits.  */
 const char *
 sch_check_sha256 (const char *text)
 {
@@ -32,10 +35,10 @@
   return "64 lower-case hexadecimal digits";
 }
 
-/* Returns true when HOST, of BYTES bytes, is an IPv4 number or an IPv6 one in
-   brackets.  */
+/* Returns true when HOST, of BYTES bytes, is an IPv4 address or an IPv6
+   address in brackets.  */
 static bool
-is_ip_number (const char *host, size_t bytes)
+is_ip_address (const char *host, size_t bytes)
 {
   char number[INET6_ADDRSTRLEN + 2];
   struct in6_addr binary;
@@ -58,13 +61,13 @@
   return inet_pton (AF_INET6, number, &binary) == 1;
 }
 
-/* Returns the port of IP:PORT in TEXT, or -1 when it is none.  */
+/* Returns the port of TEXT, IP:PORT, or -1 when TEXT is malformed.  */
 static int
-parse_address (const char *text)
+parse_port (const char *text)
 {
   const char *colon = strrchr (text, ':');
   guint64 port = 0;
-  if (colon == NULL || !is_ip_number (text, (size_t)(colon - text))
+  if (colon == NULL || !is_ip_address (text, (size_t)(colon - text))
       || !g_ascii_string_to_unsigned (colon + 1, 10, 0, PORT_MAX, &port, NULL))
     {
       return -1;
@@ -72,34 +75,35 @@
   return (int)port;
 }
 
-/* Allows the address of a process that is connected to.  */
+/* Accepts an address to connect to, IP:PORT.  */
 const char *
 sch_check_address (const char *text)
 {
-  return parse_address (text) > 0 ? NULL : "IP:PORT, port 1 to 65535";
+  return parse_port (text) > 0 ? NULL : "IP:PORT, port 1 to 65535";
 }
 
-/* Allows an address to listen on, where port 0 lets the kernel choose.  */
+/* Accepts an address to listen on, IP:PORT; port 0 lets the kernel choose a
+   port.  */
 const char *
 sch_check_listen_address (const char *text)
 {
-  return parse_address (text) >= 0 ? NULL : "IP:PORT, port 0 to 65535";
+  return parse_port (text) >= 0 ? NULL : "IP:PORT, port 0 to 65535";
 }
 
-/* Allows http://IP:PORT.  */
+/* Accepts http://IP:PORT.  */
 const char *
 sch_check_url (const char *text)
 {
   static const char scheme[] = "http://";
   if (g_str_has_prefix (text, scheme)
-      && parse_address (text + strlen (scheme)) > 0)
+      && parse_port (text + strlen (scheme)) > 0)
     {
       return NULL;
     }
   return "http://IP:PORT";
 }
 
-/* Allows the method of an HTTP request.  */
+/* Accepts an HTTP method.  */
 const char *
 sch_check_method (const char *text)
 {
@@ -110,7 +114,7 @@
              : "GET, HEAD, POST, PUT, PATCH or DELETE";
 }
 
-/* Allows the start of the path of a URL.  */
+/* Accepts a URL path or a prefix of one, without a query.  */
 const char *
 sch_check_path (const char *text)
 {
@@ -121,7 +125,7 @@
   return "a path that starts with '/', without ' ', '?' and '#'";
 }
 
-/* Allows the name of a file.  */
+/* Accepts any file name that is not empty.  */
 const char *
 sch_check_file (const char *text)
 {
--- a/src/config/schema_print.c
+++ b/src/config/schema_print.c
@@ -1,37 +1,39 @@
-/* Printing of one value of a struct that a schema describes. */
+/* Formats one value of a struct that a schema describes as text. */
 #include "config/schema.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define DIGITS_MAX 17
+/* Significant digits that represent any double exactly. */
+#define DOUBLE_DIGITS_MAX 17
 
-/* Returns the unsigned member of ITEM, in the unit of the file.  */
+/* Returns the value of FIELD in ITEM, in the unit that the file uses.  */
 static uint64_t
 load_unsigned (const struct sch_field *field, const void *item)
 {
-  const char *place = (const char *)item + field->offset;
+  const char *member = (const char *)item + field->offset;
   uint64_t value = 0;
   if (field->bytes == sizeof (uint32_t))
     {
       uint32_t narrow = 0;
-      memcpy (&narrow, place, sizeof narrow);
+      memcpy (&narrow, member, sizeof narrow);
       value = narrow;
     }
   else
     {
-      memcpy (&value, place, sizeof value);
+      memcpy (&value, member, sizeof value);
     }
   return value / MAX (field->scale, 1);
 }
 
-/* Appends VALUE with the fewest digits that read back as the same.  */
+/* Appends VALUE with the fewest digits from which the same double is read
+   back.  */
 static void
 print_fraction (double value, GString *out)
 {
   char text[G_ASCII_DTOSTR_BUF_SIZE];
   char format[] = "%.00g";
-  for (int digits = 1; digits <= DIGITS_MAX; digits++)
+  for (int digits = 1; digits <= DOUBLE_DIGITS_MAX; digits++)
     {
       g_snprintf (format, sizeof format, "%%.%dg", digits);
       g_ascii_formatd (text, sizeof text, format, value);
@@ -43,13 +45,13 @@
   g_string_append (out, text);
 }
 
-/* Appends the name of item INDEX of the list TARGET of ROOT.  */
+/* Appends the name of item INDEX of the list TARGET_LIST of ROOT.  */
 static void
 print_reference (const struct sch_schema *root_schema, const void *root,
-                 const char *target, uint32_t index, GString *out)
+                 const char *target_list, uint32_t index, GString *out)
 {
   const struct sch_field *list = root_schema->fields;
-  while (strcmp (list->key, target) != 0)
+  while (strcmp (list->key, target_list) != 0)
     {
       list++;
     }
@@ -71,20 +73,21 @@
   return index;
 }
 
-/* Returns true when FIELD of ITEM is left out of a file: an empty text, a
-   reference to nothing, and a zero that the schema leaves out.  */
+/* Returns true when the key of FIELD is not written because of the value in
+   ITEM: an empty text, a reference that is not set, or a zero or false with
+   `omit_zero'.  */
 bool
 sch_is_omitted (const struct sch_field *field, const void *item)
 {
-  const char *place = (const char *)item + field->offset;
+  const char *member = (const char *)item + field->offset;
   switch (field->type)
     {
     case SCH_UNSIGNED:
       return field->omit_zero && load_unsigned (field, item) == 0;
     case SCH_BOOL:
-      return field->omit_zero && *place == 0;
-    case SCH_TEXT:
-      return *place == '\0';
+      return field->omit_zero && *member == 0;
+    case SCH_CHAR_ARRAY:
+      return *member == '\0';
     case SCH_REFERENCE:
       return load_index (field, item) == SCH_NO_INDEX;
     default:
@@ -92,13 +95,14 @@
     }
 }
 
-/* Appends the value of FIELD, a scalar inside structs, of ITEM to OUT as a
-   file has it.  References are looked up in ROOT.  */
+/* Appends the value of FIELD in ITEM to VALUE as it is written in a file.
+   ROOT, which ROOT_SCHEMA describes, has the lists that references point to.
+   Nothing is appended for maps, lists and allocated strings.  */
 void
 sch_print (const struct sch_schema *root_schema, const void *root,
            const struct sch_field *field, const void *item, GString *value)
 {
-  const char *place = (const char *)item + field->offset;
+  const char *member = (const char *)item + field->offset;
   double fraction = 0;
   unsigned int choice = 0;
   switch (field->type)
@@ -108,21 +112,21 @@
                               load_unsigned (field, item));
       break;
     case SCH_FRACTION:
-      memcpy (&fraction, place, sizeof fraction);
+      memcpy (&fraction, member, sizeof fraction);
       print_fraction (fraction, value);
       break;
     case SCH_BOOL:
-      g_string_append (value, *place == 0 ? "false" : "true");
+      g_string_append (value, *member == 0 ? "false" : "true");
       break;
     case SCH_CHOICE:
-      memcpy (&choice, place, sizeof choice);
+      memcpy (&choice, member, sizeof choice);
       g_string_append (value, field->choices[choice]);
       break;
-    case SCH_TEXT:
-      g_string_append (value, place);
+    case SCH_CHAR_ARRAY:
+      g_string_append (value, member);
       break;
     case SCH_REFERENCE:
-      print_reference (root_schema, root, field->target,
+      print_reference (root_schema, root, field->target_list,
                        load_index (field, item), value);
       break;
     default:
--- a/src/config/schema_value.c
+++ b/src/config/schema_value.c
@@ -7,16 +7,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define QUOTED_BYTES 64
-#define QUOTED_TEXT_BYTES 40
+#define QUOTED_BYTES 64      /* buffer for a quoted value or valid values */
+#define QUOTED_TEXT_BYTES 40 /* of a value shown in a message */
 
-/* Stores what the text of a scalar says at PLACE, or complains.  */
-typedef void (*read_scalar) (struct sch_walk *walk,
-                             const struct sch_field *field,
-                             const struct yt_node *node, void *place);
+/* Converts the text of the scalar NODE and stores the value in MEMBER, or adds
+   an error.  */
+typedef void (*scalar_reader) (struct sch_reader *reader,
+                               const struct sch_field *field,
+                               const struct yt_node *node, void *member);
 
-/* Writes TEXT in quotes to BUFFER, cut to 40 bytes; a secret is not shown.
-   Returns BUFFER.  */
+/* Writes TEXT in quotes to BUFFER, cut to QUOTED_TEXT_BYTES; in place of the
+   value of a secret FIELD, writes `the value'.  Returns BUFFER.  */
 const char *
 sch_quote (const struct sch_field *field, const char *text, char *buffer,
            size_t buffer_bytes)
@@ -38,32 +39,34 @@
   return buffer;
 }
 
-/* Complains that the value of NODE is not what is ALLOWED.  */
+/* Adds an error: the value of NODE, what is WRONG with it, and the ALLOWED
+   values.  */
 static void
-refuse (struct sch_walk *walk, const struct sch_field *field,
-        const struct yt_node *node, const char *wrong, const char *allowed)
+report_invalid_value (struct sch_reader *reader, const struct sch_field *field,
+                      const struct yt_node *node, const char *wrong,
+                      const char *allowed)
 {
   char quoted[QUOTED_BYTES];
   cmp_add (
-      walk->complaints, node->line, "%s: %s %s; allowed: %s", walk->path->str,
+      reader->errors, node->line, "%s: %s %s; allowed: %s", reader->path->str,
       sch_quote (field, node->text, quoted, sizeof quoted), wrong, allowed);
 }
 
 static void
-store_unsigned (const struct sch_field *field, uint64_t value, void *place)
+store_unsigned (const struct sch_field *field, uint64_t value, void *member)
 {
   if (field->bytes == sizeof (uint32_t))
     {
       uint32_t narrow = (uint32_t)value;
-      memcpy (place, &narrow, sizeof narrow);
+      memcpy (member, &narrow, sizeof narrow);
       return;
     }
-  memcpy (place, &value, sizeof value);
+  memcpy (member, &value, sizeof value);
 }
 
 static void
-read_unsigned (struct sch_walk *walk, const struct sch_field *field,
-               const struct yt_node *node, void *place)
+read_unsigned (struct sch_reader *reader, const struct sch_field *field,
+               const struct yt_node *node, void *member)
 {
   char allowed[QUOTED_BYTES];
   g_snprintf (allowed, sizeof allowed,
@@ -75,19 +78,20 @@
       || !g_ascii_string_to_unsigned (node->text, 10, field->min, field->max,
                                       &value, &error))
     {
-      bool out = g_error_matches (error, G_NUMBER_PARSER_ERROR,
-                                  G_NUMBER_PARSER_ERROR_OUT_OF_BOUNDS);
-      refuse (walk, field, node,
-              out ? "is out of range" : "is not a whole number", allowed);
+      bool out_of_range = g_error_matches (
+          error, G_NUMBER_PARSER_ERROR, G_NUMBER_PARSER_ERROR_OUT_OF_BOUNDS);
+      report_invalid_value (
+          reader, field, node,
+          out_of_range ? "is out of range" : "is not a whole number", allowed);
       g_clear_error (&error);
       return;
     }
-  store_unsigned (field, value * MAX (field->scale, 1), place);
+  store_unsigned (field, value * MAX (field->scale, 1), member);
 }
 
 static void
-read_fraction (struct sch_walk *walk, const struct sch_field *field,
-               const struct yt_node *node, void *place)
+read_fraction (struct sch_reader *reader, const struct sch_field *field,
+               const struct yt_node *node, void *member)
 {
   char allowed[QUOTED_BYTES];
   g_snprintf (allowed, sizeof allowed, "a number, %g to %g",
@@ -96,33 +100,34 @@
   double value = g_ascii_strtod (node->text, &end);
   if (!node->plain || end == node->text || *end != '\0' || !isfinite (value))
     {
-      refuse (walk, field, node, "is not a number", allowed);
+      report_invalid_value (reader, field, node, "is not a number", allowed);
       return;
     }
   if (value < field->min_fraction || value > field->max_fraction)
     {
-      refuse (walk, field, node, "is out of range", allowed);
+      report_invalid_value (reader, field, node, "is out of range", allowed);
       return;
     }
-  memcpy (place, &value, sizeof value);
+  memcpy (member, &value, sizeof value);
 }
 
 static void
-read_bool (struct sch_walk *walk, const struct sch_field *field,
-           const struct yt_node *node, void *place)
+read_bool (struct sch_reader *reader, const struct sch_field *field,
+           const struct yt_node *node, void *member)
 {
   bool value = strcmp (node->text, "true") == 0;
   if (!node->plain || (!value && strcmp (node->text, "false") != 0))
     {
-      refuse (walk, field, node, "is not a truth value", "true or false");
+      report_invalid_value (reader, field, node, "is not a boolean",
+                            "true or false");
       return;
     }
-  memcpy (place, &value, sizeof value);
+  memcpy (member, &value, sizeof value);
 }
 
 static void
-read_choice (struct sch_walk *walk, const struct sch_field *field,
-             const struct yt_node *node, void *place)
+read_choice (struct sch_reader *reader, const struct sch_field *field,
+             const struct yt_node *node, void *member)
 {
   size_t count = g_strv_length ((gchar **)field->choices);
   for (size_t i = 0; i < count; i++)
@@ -130,65 +135,67 @@
       if (strcmp (field->choices[i], node->text) == 0)
         {
           int choice = (int)i;
-          memcpy (place, &choice, sizeof choice);
+          memcpy (member, &choice, sizeof choice);
           return;
         }
     }
   char *allowed = g_strjoinv (", ", (gchar **)field->choices);
-  refuse (walk, field, node, "is unknown", allowed);
+  report_invalid_value (reader, field, node, "is unknown", allowed);
   g_free (allowed);
 }
 
-/* Returns true when the text of NODE passes the check of FIELD and fits.  */
+/* Returns true when the text of NODE passes the check of FIELD and fits in the
+   member; else adds an error.  */
 static bool
-text_allowed (struct sch_walk *walk, const struct sch_field *field,
-              const struct yt_node *node)
+check_text (struct sch_reader *reader, const struct sch_field *field,
+            const struct yt_node *node)
 {
   const char *allowed
       = field->check == NULL ? NULL : field->check (node->text);
-  char bound[QUOTED_BYTES];
-  if (allowed == NULL && field->type == SCH_TEXT
+  char size_limit[QUOTED_BYTES];
+  if (allowed == NULL && field->type == SCH_CHAR_ARRAY
       && strlen (node->text) >= field->bytes)
     {
-      g_snprintf (bound, sizeof bound, "up to %zu bytes", field->bytes - 1);
-      allowed = bound;
+      g_snprintf (size_limit, sizeof size_limit, "up to %zu bytes",
+                  field->bytes - 1);
+      allowed = size_limit;
     }
   if (allowed != NULL)
     {
-      refuse (walk, field, node, "is not allowed", allowed);
+      report_invalid_value (reader, field, node, "is not allowed", allowed);
     }
   return allowed == NULL;
 }
 
 static void
-read_text (struct sch_walk *walk, const struct sch_field *field,
-           const struct yt_node *node, void *place)
+read_text (struct sch_reader *reader, const struct sch_field *field,
+           const struct yt_node *node, void *member)
 {
-  if (text_allowed (walk, field, node))
+  if (check_text (reader, field, node))
     {
-      g_strlcpy (place, node->text, field->bytes);
+      g_strlcpy (member, node->text, field->bytes);
     }
 }
 
 static void
-read_string (struct sch_walk *walk, const struct sch_field *field,
-             const struct yt_node *node, void *place)
+read_string (struct sch_reader *reader, const struct sch_field *field,
+             const struct yt_node *node, void *member)
 {
-  if (text_allowed (walk, field, node))
+  if (check_text (reader, field, node))
     {
-      char **string = place;
+      char **string = member;
       g_free (*string);
       *string = g_strdup (node->text);
     }
 }
 
-/* Returns a new table from each `name' of the root's list TARGET to its index
-   plus one.  */
+/* Returns a new hash table from the `name' of each item in the list
+   TARGET_LIST of ROOT to the item's index plus one.  */
 static GHashTable *
-index_names (const struct yt_node *root, const char *target)
+index_names (const struct yt_node *root, const char *target_list)
 {
   GHashTable *names = g_hash_table_new (g_str_hash, g_str_equal);
-  const struct yt_node *list = yt_get (root, target);
+  const struct yt_node *list = yt_get (root, target_list);
   if (list == NULL || list->type != YT_LIST)
     {
       return names;
@@ -206,46 +213,48 @@
 }
 
 static void
-read_reference (struct sch_walk *walk, const struct sch_field *field,
-                const struct yt_node *node, void *place)
+read_reference (struct sch_reader *reader, const struct sch_field *field,
+                const struct yt_node *node, void *member)
 {
-  GHashTable *names
-      = g_hash_table_lookup (walk->targets, (gpointer)field->target);
+  GHashTable *names = g_hash_table_lookup (reader->indices_by_list,
+                                           (gpointer)field->target_list);
   if (names == NULL)
     {
-      names = index_names (walk->root, field->target);
-      g_hash_table_insert (walk->targets, (gpointer)field->target, names);
+      names = index_names (reader->root, field->target_list);
+      g_hash_table_insert (reader->indices_by_list,
+                           (gpointer)field->target_list, names);
     }
   guint found = GPOINTER_TO_UINT (g_hash_table_lookup (names, node->text));
   if (found == 0)
     {
       char allowed[QUOTED_BYTES];
       g_snprintf (allowed, sizeof allowed, "a name listed under %s",
-                  field->target);
-      refuse (walk, field, node, "is not listed", allowed);
+                  field->target_list);
+      report_invalid_value (reader, field, node, "is not listed", allowed);
       return;
     }
   uint32_t index = found - 1;
-  memcpy (place, &index, sizeof index);
+  memcpy (member, &index, sizeof index);
 }
 
-static const read_scalar readers[SCH_TYPE_COUNT] = {
+static const scalar_reader scalar_readers[SCH_TYPE_COUNT] = {
   [SCH_UNSIGNED] = read_unsigned,   [SCH_FRACTION] = read_fraction,
   [SCH_BOOL] = read_bool,           [SCH_CHOICE] = read_choice,
-  [SCH_TEXT] = read_text,           [SCH_STRING] = read_string,
+  [SCH_CHAR_ARRAY] = read_text,     [SCH_STRING] = read_string,
   [SCH_REFERENCE] = read_reference,
 };
 
-/* Reads the scalar NODE as FIELD says and stores it at PLACE; complains when
-   it is not allowed.  */
+/* Converts the scalar NODE to the type of FIELD and stores the value in
+   MEMBER. When the value is invalid, adds an error and leaves MEMBER
+   unchanged.  */
 void
-sch_read_scalar (struct sch_walk *walk, const struct sch_field *field,
-                 const struct yt_node *node, void *place)
+sch_read_scalar (struct sch_reader *reader, const struct sch_field *field,
+                 const struct yt_node *node, void *member)
 {
   if (node->type != YT_SCALAR)
     {
-      cmp_add (walk->complaints, node->line,
-               "%s: is a %s; allowed: a single value", walk->path->str,
+      cmp_add (reader->errors, node->line,
+               "%s: is a %s; allowed: a single value", reader->path->str,
                node->type == YT_LIST ? "list" : "map");
       return;
     }
@@ -253,46 +262,49 @@
                || strcmp (node->text, "null") == 0;
   if (node->plain && empty)
     {
-      cmp_add (walk->complaints, node->line,
-               "%s: has no value; leave the key out or give it one",
-               walk->path->str);
+      cmp_add (reader->errors, node->line,
+               "%s: has no value; omit the key or give it a value",
+               reader->path->str);
       return;
     }
-  readers[field->type](walk, field, node, place);
+  scalar_readers[field->type](reader, field, node, member);
 }
 
-/* Reads the list of scalars NODE into a newly allocated vector at PLACE.  */
+/* Reads the list of scalars NODE into a new NULL-terminated array, which
+   replaces the one in MEMBER, a char **.  When NODE is no list of a valid
+   length, adds an error and leaves MEMBER unchanged.  When an item is invalid,
+   adds an error and stores an empty array.  */
 void
-sch_read_strings (struct sch_walk *walk, const struct sch_field *field,
-                  const struct yt_node *node, void *place)
+sch_read_strings (struct sch_reader *reader, const struct sch_field *field,
+                  const struct yt_node *node, void *member)
 {
   if (node->type != YT_LIST)
     {
-      cmp_add (walk->complaints, node->line,
+      cmp_add (reader->errors, node->line,
                "%s: is not a list; allowed: a list of values",
-               walk->path->str);
+               reader->path->str);
       return;
     }
   if (node->items->len < field->min || node->items->len > field->max)
     {
-      cmp_add (walk->complaints, node->line,
+      cmp_add (reader->errors, node->line,
                "%s: %u values; allowed: %" G_GUINT64_FORMAT
                " to %" G_GUINT64_FORMAT,
-               walk->path->str, node->items->len, field->min, field->max);
+               reader->path->str, node->items->len, field->min, field->max);
       return;
     }
   struct sch_field element = *field;
   element.type = SCH_STRING;
   char **strings = g_new0 (char *, node->items->len + 1);
-  bool whole = true;
+  bool all_valid = true;
   for (guint i = 0; i < node->items->len; i++)
     {
-      sch_read_scalar (walk, &element, g_ptr_array_index (node->items, i),
+      sch_read_scalar (reader, &element, g_ptr_array_index (node->items, i),
                        &strings[i]);
-      whole = whole && strings[i] != NULL;
+      all_valid = all_valid && strings[i] != NULL;
     }
-  char ***vector = place;
-  for (guint i = 0; !whole && i < node->items->len; i++)
+  char ***vector = member;
+  for (guint i = 0; !all_valid && i < node->items->len; i++)
     {
       g_free (strings[i]);
       strings[i] = NULL;
--- a/src/config/schema_value.h
+++ b/src/config/schema_value.h
@@ -1,21 +1,23 @@
-/* Conversion of one scalar, by type.  Private to the schema. */
+/* Reads a scalar or a list of scalars into a struct member, according to the
+   type of its field.  Private to the schema module. */
 #ifndef CONFIG_SCHEMA_VALUE_H
 #define CONFIG_SCHEMA_VALUE_H
 
 #include "config/schema.h"
 
-/* A document being read. */
-struct sch_walk
+/* The state of reading one document. */
+struct sch_reader
 {
   const struct yt_node *root;
-  struct cmp_list *complaints;
-  GString *path;       /* of the value being read, `hosts[2].kind' */
-  GHashTable *targets; /* name of a list to the indices of its names */
+  struct cmp_list *errors;
+  GString *path; /* of the current value, such as `hosts[2].kind' */
+  GHashTable *indices_by_list; /* list key -> (item name -> index + 1) */
 };
 
-void sch_read_scalar (struct sch_walk *walk, const struct sch_field *field,
-                      const struct yt_node *node, void *place);
-void sch_read_strings (struct sch_walk *walk, const struct sch_field *field,
-                       const struct yt_node *node, void *place);
+void sch_read_scalar (struct sch_reader *reader, const struct sch_field *field,
+                      const struct yt_node *node, void *member);
+void sch_read_strings (struct sch_reader *reader,
+                       const struct sch_field *field,
+                       const struct yt_node *node, void *member);
 
 #endif
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -19,7 +19,8 @@
 #define DEFAULT_TRAFFIC_THREADS 8
 #define DEFAULT_CALLER_TIMEOUT_MS 10000
 
-/* The settings as the file has them, secrets by file.  */
+/* The content of the settings file, which names the files with the secrets
+   instead of having the secrets.  */
 struct file_settings
 {
   struct set_settings settings;
@@ -40,68 +41,68 @@
 static const struct sch_field fields[] = {
   { .key = "name",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, settings.name),
+    SCH_MEMBER (struct file_settings, settings.name),
     .required = true,
     .check = sch_check_name },
   { .key = "data_centre",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, settings.data_centre),
+    SCH_MEMBER (struct file_settings, settings.data_centre),
     .required = true,
     .check = sch_check_name },
   { .key = "caller_address",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, settings.caller_address),
+    SCH_MEMBER (struct file_settings, settings.caller_address),
     .required = true,
     .check = sch_check_listen_address },
   { .key = "operator_address",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, settings.operator_address),
+    SCH_MEMBER (struct file_settings, settings.operator_address),
     .required = true,
     .check = sch_check_listen_address },
   { .key = "peer_address",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, settings.peer_address),
+    SCH_MEMBER (struct file_settings, settings.peer_address),
     .required = true,
     .check = sch_check_listen_address },
   { .key = "log_urls",
-    .type = SCH_STRINGS,
-    SCH_AT (struct file_settings, settings.log_urls),
+    .type = SCH_STRING_LIST,
+    SCH_MEMBER (struct file_settings, settings.log_urls),
     .required = true,
     .min = 1,
     .max = LIST_LENGTH_MAX,
     .check = sch_check_url },
   { .key = "host_list_url",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, settings.host_list_url),
+    SCH_MEMBER (struct file_settings, settings.host_list_url),
     .required = true,
     .check = sch_check_url },
   { .key = "seeds",
-    .type = SCH_STRINGS,
-    SCH_AT (struct file_settings, settings.seeds),
+    .type = SCH_STRING_LIST,
+    SCH_MEMBER (struct file_settings, settings.seeds),
     .max = LIST_LENGTH_MAX,
     .check = sch_check_address },
   { .key = "operator_token_file",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, operator_token_file),
+    SCH_MEMBER (struct file_settings, operator_token_file),
     .required = true,
     .check = sch_check_file },
   { .key = "peer_secret_file",
     .type = SCH_STRING,
-    SCH_AT (struct file_settings, peer_secret_file),
+    SCH_MEMBER (struct file_settings, peer_secret_file),
     .required = true,
     .check = sch_check_file },
   { .key = "log_level",
     .type = SCH_CHOICE,
-    SCH_AT (struct file_settings, settings.log_level),
+    SCH_MEMBER (struct file_settings, settings.log_level),
     .choices = log_levels },
   { .key = "traffic_threads",
     .type = SCH_UNSIGNED,
-    SCH_AT (struct file_settings, settings.traffic_threads),
+    SCH_MEMBER (struct file_settings, settings.traffic_threads),
     .min = 1,
     .max = TRAFFIC_THREADS_MAX },
   { .key = "caller_timeout_ms",
     .type = SCH_UNSIGNED,
-    SCH_AT (struct file_settings, settings.caller_timeout_ms),
+    SCH_MEMBER (struct file_settings, settings.caller_timeout_ms),
     .min = CALLER_TIMEOUT_MIN_MS,
     .max = CALLER_TIMEOUT_MAX_MS },
 };
@@ -114,17 +115,18 @@
 };
 
 static const struct yt_limits limits = {
-  .text_bytes = SETTINGS_BYTES_MAX,
-  .depth = DEPTH_MAX,
-  .nodes = NODES_MAX,
+  .text_bytes_max = SETTINGS_BYTES_MAX,
+  .depth_max = DEPTH_MAX,
+  .nodes_max = NODES_MAX,
 };
 
-/* Reads the secret in the file NAME, relative to FOLDER, without the white
-   space at its end.  KEY is the setting that names the file.  Returns NULL,
-   with a complaint on LINE, when there is none.  */
+/* Reads the secret from the file NAME, relative to FOLDER, and removes
+   trailing white space.  KEY is the setting that names the file.  Returns
+   NULL, with an error for LINE added, when the file cannot be read or has no
+   secret.  The caller frees the result with g_free.  */
 static char *
 read_secret (const char *folder, const char *name, const char *key,
-             uint32_t line, struct cmp_list *complaints)
+             uint32_t line, struct cmp_list *errors)
 {
   char *path = g_path_is_absolute (name)
                    ? g_strdup (name)
@@ -134,12 +136,12 @@
   size_t bytes = 0;
   if (!cfg_read_file (path, SECRET_BYTES_MAX, &secret, &bytes, &error))
     {
-      cmp_add (complaints, line, "%s: %s", key, error->message);
+      cmp_add (errors, line, "%s: %s", key, error->message);
       g_clear_error (&error);
     }
   else if (strlen (secret) != bytes || g_strchomp (secret)[0] == '\0')
     {
-      cmp_add (complaints, line,
+      cmp_add (errors, line,
                "%s: '%s' holds no secret; allowed: one line of text", key,
                name);
       g_clear_pointer (&secret, g_free);
@@ -148,59 +150,61 @@
   return secret;
 }
 
-/* Returns the line of KEY in ROOT.  */
+/* Returns the line of the value of KEY in ROOT, or 1 when ROOT does not have
+   KEY.  */
 static uint32_t
-line_of (const struct yt_node *root, const char *key)
+key_line (const struct yt_node *root, const char *key)
 {
   const struct yt_node *node = yt_get (root, key);
   return node == NULL ? 1 : node->line;
 }
 
-/* Reads the files that the settings name.  */
+/* Reads the files with secrets that FILE names into its settings.  PATH is the
+   settings file, to whose folder their names are relative.  */
 static void
 read_secrets (const char *path, const struct yt_node *root,
-              struct file_settings *file, struct cmp_list *complaints)
+              struct file_settings *file, struct cmp_list *errors)
 {
   char *folder = g_path_get_dirname (path);
   if (file->operator_token_file != NULL)
     {
       file->settings.operator_token = read_secret (
           folder, file->operator_token_file, "operator_token_file",
-          line_of (root, "operator_token_file"), complaints);
+          key_line (root, "operator_token_file"), errors);
     }
   if (file->peer_secret_file != NULL)
     {
       file->settings.peer_secret
           = read_secret (folder, file->peer_secret_file, "peer_secret_file",
-                         line_of (root, "peer_secret_file"), complaints);
+                         key_line (root, "peer_secret_file"), errors);
     }
   g_free (folder);
 }
 
-/* Reads the settings of one process from the YAML file PATH and the files of
-   secrets that it names, which are relative to its folder.  Returns NULL with
-   ERR_SETTINGS when anything is wrong; COMPLAINTS then has one line for each
-   error, `file:line: key: what is wrong; allowed: ...'.  The caller frees the
-   result with set_destroy.  */
+/* Reads the settings of a daemon from the YAML file PATH and the files with
+   secrets that it names, relative to its folder.  Returns NULL with
+   ERR_SETTINGS when a file cannot be read or has errors, and adds one line for
+   each error to MESSAGES: `file:line: key: problem; allowed: ...'.  The caller
+   frees the result with set_destroy.  */
 struct set_settings *
-set_load (const char *path, GString *complaints, GError **error)
+set_load (const char *path, GString *messages, GError **error)
 {
-  struct cmp_list list = { .file_name = path, .text = complaints };
+  struct cmp_list errors = { .file_name = path, .text = messages };
   char *text = NULL;
   size_t bytes = 0;
-  GError *unread = NULL;
-  if (!cfg_read_file (path, SETTINGS_BYTES_MAX, &text, &bytes, &unread))
+  GError *read_error = NULL;
+  if (!cfg_read_file (path, SETTINGS_BYTES_MAX, &text, &bytes, &read_error))
     {
-      g_string_append_printf (complaints, "%s\n", unread->message);
-      g_propagate_error (error, unread);
+      g_string_append_printf (messages, "%s\n", read_error->message);
+      g_propagate_error (error, read_error);
       return NULL;
     }
   struct file_settings file = { 0 };
-  struct yt_node *root = yt_parse (text, bytes, &limits, &list);
+  struct yt_node *root = yt_parse (text, bytes, &limits, &errors);
   if (root != NULL)
     {
-      sch_read (&set_schema, root, &file, &list);
-      read_secrets (path, root, &file, &list);
+      sch_read (&set_schema, root, &file, &errors);
+      read_secrets (path, root, &file, &errors);
     }
   yt_destroy (root);
   g_free (text);
@@ -212,8 +216,8 @@
     {
       settings->seeds = g_new0 (char *, 1);
     }
-  cmp_finish (&list, ERR_SETTINGS, error);
-  if (list.count > 0)
+  cmp_set_error (&errors, ERR_SETTINGS, error);
+  if (errors.count > 0)
     {
       set_destroy (settings);
       return NULL;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,5 @@
-/* Settings of one process: addresses, data centre, log, secrets by file. */
+/* Settings of a daemon, read from a YAML file and the files with secrets that
+   it names. */
 #ifndef CONFIG_SETTINGS_H
 #define CONFIG_SETTINGS_H
 
@@ -9,20 +10,20 @@
 {
   char *name; /* of this daemon, unique in the fleet */
   char *data_centre;
-  char *caller_address; /* IP:PORT; port 0: chosen by the kernel */
-  char *operator_address;
-  char *peer_address;
-  char **log_urls; /* NULL-terminated, http://IP:PORT */
-  char *host_list_url;
-  char **seeds;         /* peer addresses; NULL-terminated */
-  char *operator_token; /* read from the file that the setting names */
-  char *peer_secret;    /* shared by the daemons; read from a file */
-  int log_level;        /* LOG_ERR and so on */
+  char *caller_address;   /* IP:PORT to listen on; port 0: any free port */
+  char *operator_address; /* as caller_address */
+  char *peer_address;     /* as caller_address */
+  char **log_urls;        /* http://IP:PORT; NULL-terminated */
+  char *host_list_url;    /* http://IP:PORT */
+  char **seeds; /* IP:PORT of peers known at the start; NULL-terminated */
+  char *operator_token; /* content of the operator_token_file */
+  char *peer_secret;    /* content of the peer_secret_file */
+  int log_level;        /* LOG_EMERG to LOG_DEBUG */
   uint32_t traffic_threads;
-  uint32_t caller_timeout_ms; /* bound on a slow sender */
+  uint32_t caller_timeout_ms; /* limit for a caller that sends slowly */
 };
 
-struct set_settings *set_load (const char *path, GString *complaints,
+struct set_settings *set_load (const char *path, GString *messages,
                                GError **error);
 void set_destroy (struct set_settings *settings);
 
--- a/test/inventory_test.c
+++ b/test/inventory_test.c
@@ -56,7 +56,7 @@
       "host, " } },
   { "host," HEADER,
     NULL,
-    { "r.csv:1: host: the column stands 2 times; allowed: once" } },
+    { "r.csv:1: host: the column appears 2 times; allowed: once" } },
   { "host,address,data_centre,kind,accelerators,memory_mb,layer_tokens_per_s"
     "\n",
     NULL,
@@ -86,7 +86,7 @@
     { "r.csv:2: control character" } },
   { HEADER "\xff,10.0.0.1:1,a,k,1,1,1,checked\n",
     NULL,
-    { "r.csv:1: not text in UTF-8" } },
+    { "r.csv:1: not valid UTF-8 text" } },
   { HEADER "\ne1,db:1,a,k,0,x,1,maybe\n",
     NULL,
     { "r.csv:3: memory: 'x' is not a number; allowed: a number, 0 or more",
@@ -99,7 +99,7 @@
            "e1,10.0.0.2:1,a,k,1,1,1,checked\n"
            "e2,10.0.0.1:1,a,k,1,1,1,checked\n",
     NULL,
-    { "r.csv:3: hosts[1].name: 'e1' stands on line 2 already" } },
+    { "r.csv:3: hosts[1].name: 'e1' is already used on line 2" } },
   /* with a base */
   { HEADER "e1,10.0.0.1:1,c,k,1,1,1,checked\n",
     BASE,
@@ -107,7 +107,7 @@
       "listed under data_centres" } },
   { HEADER "e1,10.0.0.8:1,a,k,1,1,1,checked\n",
     BASE,
-    { "r.csv:2: hosts[1].address: an earlier one has it already" } },
+    { "r.csv:2: hosts[1].address: an earlier item has the same value" } },
   { HEADER, "version: 0\n", { "b.yaml:1: version: '0' is out of range" } },
 };
 
--- a/test/parse_test.c
+++ b/test/parse_test.c
@@ -45,7 +45,7 @@
   /* keys */
   { "models: []\n", { "f.yaml:1: version: is missing" } },
   { "version: 1\nversion: 1\n",
-    { "f.yaml:2: version: the key stands on line 1 already" } },
+    { "f.yaml:2: version: duplicate key, first set on line 1" } },
   { "version: 1\nmodel: []\n",
     { "f.yaml:2: model: unknown key, did you mean 'models'; allowed: "
       "version, accounts" } },
@@ -77,7 +77,7 @@
   /* names, references */
   { "version: 1\ndata_centres:\n  - {name: a, region: r}\n  - {name: a, "
     "region: r}\n",
-    { "f.yaml:4: data_centres[1].name: 'a' stands on line 3 already" } },
+    { "f.yaml:4: data_centres[1].name: 'a' is already used on line 3" } },
   { "version: 1\n" CENTRES
     "links: [{from: a, to: c, delay_us: 1, mbit_per_s: 1}]\n",
     { "f.yaml:3: links[0].to: 'c' is not listed; allowed: a name listed under "
@@ -99,7 +99,7 @@
   { "version: 1\n" CENTRES
     "hosts:\n  - {name: h, address: '1.2.3.4:1', " ENGINE
     "}\n  - {name: i, address: '1.2.3.4:1', " ENGINE "}\n",
-    { "f.yaml:5: hosts[1].address: an earlier one has it already" } },
+    { "f.yaml:5: hosts[1].address: an earlier item has the same value" } },
   { "version: 1\n" CENTRES "hosts: [{name: h, address: '1.2.3.4:1', role: "
     "service, data_centre: a, kind: k}]\n",
     { "f.yaml:3: hosts[0].kind: does not fit the role; allowed: only for role "
@@ -114,7 +114,8 @@
       "64 lower-case hexadecimal digits" } },
   { "version: 1\naccounts:\n  - {name: a, token_sha256: " SHA
     "}\n  - {name: b, token_sha256: " SHA "}\n",
-    { "f.yaml:4: accounts[1].token_sha256: an earlier one" } },
+    { "f.yaml:4: accounts[1].token_sha256: an earlier item has the same "
+      "value" } },
   { "version: 1\naccounts: [{name: a, token_sha256: " SHA
     ", objective: {availability: 1.5}}]\n",
     { "f.yaml:2: accounts[0].objective.availability: '1.5' is out of range; "
--- a/test/settings_test.c
+++ b/test/settings_test.c
@@ -106,7 +106,7 @@
     "operator_token_file: none\npeer_secret_file: empty\n",
     { ":8: operator_token_file: ",
       ":9: peer_secret_file: 'empty' holds no" } },
-  { "name: d\nname: d\n", { ":2: name: the key stands on line 1 already" } },
+  { "name: d\nname: d\n", { ":2: name: duplicate key, first set on line 1" } },
   { "name: [[[[[[[d]]]]]]]\n", { ":1: nested too deeply" } },
   { "", { ":1: empty" } },
 };
