--- a/test/emit_test.c
+++ b/test/emit_test.c
@@ -11,20 +11,21 @@
 
 #define EXAMPLE "examples/configuration.yaml"
 
-/* Parses TEXT, which is right.  */
+/* Parses TEXT, which must be a valid configuration.  */
 static struct cfg_config *
 parse (const char *text)
 {
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   struct cfg_config *config
-      = cfg_parse ("f.yaml", text, strlen (text), complaints, NULL);
-  assert_string_equal (complaints->str, "");
+      = cfg_parse ("f.yaml", text, strlen (text), messages, NULL);
+  assert_string_equal (messages->str, "");
   assert_non_null (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
   return config;
 }
 
-/* Returns the example with OLD replaced by NEW.  */
+/* Returns the example configuration with the first occurrence of OLD replaced
+   by NEW, or unchanged when OLD is NULL.  */
 static struct cfg_config *
 example_with (const char *old, const char *new)
 {
@@ -43,9 +44,10 @@
   return config;
 }
 
-/* What is emitted reads back as the same, and emits the same again.  */
+/* A configuration that is emitted and parsed again has no changes and is
+   emitted as the same text, also when values need quotes.  */
 static void
-emitted_text_reads_back (void **state)
+emitted_yaml_parses_to_the_same_configuration (void **state)
 {
   (void)state;
   static const char *const texts[] = {
@@ -75,7 +77,7 @@
 }
 
 static void
-emitted_text_is_canonical (void **state)
+emitted_yaml_is_canonical (void **state)
 {
   (void)state;
   struct cfg_config *config = parse (
@@ -112,11 +114,12 @@
   cfg_config_destroy (config);
 }
 
+/* A replacement in the example configuration and the changes it makes. */
 struct diff_case
 {
   const char *old; /* in the example */
   const char *new;
-  const char *changes;
+  const char *changes; /* expected from cfg_diff */
 };
 
 static const struct diff_case diff_cases[] = {
@@ -143,7 +146,7 @@
 };
 
 static void
-changes_are_listed (void **state)
+diff_lists_changes (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (diff_cases); i++)
@@ -163,9 +166,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (emitted_text_reads_back),
-    cmocka_unit_test (emitted_text_is_canonical),
-    cmocka_unit_test (changes_are_listed),
+    cmocka_unit_test (emitted_yaml_parses_to_the_same_configuration),
+    cmocka_unit_test (emitted_yaml_is_canonical),
+    cmocka_unit_test (diff_lists_changes),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
