--- a/test/inventory_test.c
+++ b/test/inventory_test.c
@@ -27,23 +27,24 @@
   "service: s}\n"
 
 static struct cfg_config *
-import (const char *csv, const char *base, GString *complaints, GError **error)
+import (const char *csv, const char *base, GString *messages, GError **error)
 {
   struct inv_file csv_file = { "r.csv", csv, strlen (csv) };
   struct inv_file base_file
       = { "b.yaml", base, base == NULL ? 0 : strlen (base) };
-  return inv_import (&csv_file, base == NULL ? NULL : &base_file, complaints,
+  return inv_import (&csv_file, base == NULL ? NULL : &base_file, messages,
                      error);
 }
 
-struct refused_case
+/* A register with errors, and its base or NULL. */
+struct invalid_case
 {
   const char *csv;
   const char *base;
-  const char *complaints[3];
+  const char *messages[3]; /* in order; text that each line starts with */
 };
 
-static const struct refused_case refused_cases[] = {
+static const struct invalid_case invalid_cases[] = {
   /* header */
   { "", NULL, { "r.csv:1: empty" } },
   { "host,address\n",
@@ -112,32 +113,33 @@
 };
 
 static void
-wrong_registers_are_refused (void **state)
+invalid_registers_are_rejected (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS (refused_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid_cases); i++)
     {
-      const struct refused_case *c = &refused_cases[i];
-      GString *complaints = g_string_new (NULL);
+      const struct invalid_case *c = &invalid_cases[i];
+      GString *messages = g_string_new (NULL);
       GError *error = NULL;
-      assert_null (import (c->csv, c->base, complaints, &error));
+      assert_null (import (c->csv, c->base, messages, &error));
       assert_int_equal (err_kind_of (error), ERR_CONFIG_INVALID);
-      char **lines = g_strsplit (complaints->str, "\n", 0);
-      for (size_t j = 0; j < G_N_ELEMENTS (c->complaints); j++)
+      char **lines = g_strsplit (messages->str, "\n", 0);
+      for (size_t j = 0; j < G_N_ELEMENTS (c->messages); j++)
         {
-          if (c->complaints[j] != NULL
-              && !g_str_has_prefix (lines[j], c->complaints[j]))
+          if (c->messages[j] != NULL
+              && !g_str_has_prefix (lines[j], c->messages[j]))
             {
               fail_msg ("case %zu: `%s' does not start with `%s'", i, lines[j],
-                        c->complaints[j]);
+                        c->messages[j]);
             }
         }
       g_strfreev (lines);
       g_clear_error (&error);
-      g_string_free (complaints, TRUE);
+      g_string_free (messages, TRUE);
     }
 }
 
+/* Units and values of two columns, and the expected members of the host. */
 struct unit_case
 {
   const char *memory_column;
@@ -167,29 +169,30 @@
           "host,address,data_centre,kind,accelerators,%s,%s\r\n"
           "e,10.0.0.1:1,a,k,1,%s,%s\r\n",
           c->memory_column, c->tokens_column, c->memory, c->tokens);
-      GString *complaints = g_string_new (NULL);
-      struct cfg_config *config = import (csv, NULL, complaints, NULL);
-      assert_string_equal (complaints->str, "");
+      GString *messages = g_string_new (NULL);
+      struct cfg_config *config = import (csv, NULL, messages, NULL);
+      assert_string_equal (messages->str, "");
       assert_int_equal (config->hosts[0].memory_mib, c->memory_mib);
       assert_int_equal (config->hosts[0].layer_tokens_per_s,
                         c->layer_tokens_per_s);
       cfg_config_destroy (config);
-      g_string_free (complaints, TRUE);
+      g_string_free (messages, TRUE);
       g_free (csv);
     }
 }
 
-/* Hosts are replaced; a drain and the hosts of services stay.  */
+/* The hosts of the base are replaced, but a host that stays keeps its
+   `draining' flag, and hosts of services are kept.  */
 static void
-hosts_of_the_base_are_replaced (void **state)
+hosts_of_base_are_replaced (void **state)
 {
   (void)state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   struct cfg_config *config = import (
       "\xef\xbb\xbf" HEADER "\"e1\", 10.0.0.1:1 ,b,\"k\",2,2,5,checked\n"
       "e2,10.0.0.2:1,a,k,1,1,1,\n",
-      BASE, complaints, NULL);
-  assert_string_equal (complaints->str, "");
+      BASE, messages, NULL);
+  assert_string_equal (messages->str, "");
   assert_int_equal (config->version, 5);
   assert_int_equal (config->base_version, 4);
   assert_int_equal (config->host_count, 3);
@@ -204,63 +207,64 @@
   assert_int_equal (e2->fencing, CFG_FENCING_IGNORED);
   assert_null (cfg_find_host (config, "old"));
   cfg_config_destroy (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
 }
 
-/* A register with a column for services lists the hosts of services too.  */
+/* If the register has the column `service', its hosts replace the hosts of
+   services too.  */
 static void
-services_may_stand_in_the_register (void **state)
+register_may_list_service_hosts (void **state)
 {
   (void)state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   struct cfg_config *config
       = import ("host,address,data_centre,kind,accelerators,memory_gib,"
                 "layer_tokens_per_s,service\n"
                 "e1,10.0.0.1:1,b,k,2,2,5,\n"
                 "s2,10.0.0.2:1,a,,,,,s\n",
-                BASE, complaints, NULL);
-  assert_string_equal (complaints->str, "");
+                BASE, messages, NULL);
+  assert_string_equal (messages->str, "");
   assert_int_equal (config->host_count, 2);
   assert_int_equal (config->hosts[1].role, CFG_HOST_SERVICE);
   assert_int_equal (config->hosts[1].service, 0);
   cfg_config_destroy (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
 }
 
-/* Without a base the data centres are those of the register, and what is
-   printed is a valid configuration.  */
+/* Without a base, the configuration has the data centres that the register
+   names, and its YAML text is valid.  */
 static void
-a_register_alone_makes_a_configuration (void **state)
+register_without_base_creates_configuration (void **state)
 {
   (void)state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   struct cfg_config *config
       = import (HEADER "e1,10.0.0.1:1,b,k,2,2,5,checked\n"
                        "e2,10.0.0.2:1,a,k,2,2,5,checked\n"
                        "e3,10.0.0.3:1,b,k,2,2,5,checked\n",
-                NULL, complaints, NULL);
-  assert_string_equal (complaints->str, "");
+                NULL, messages, NULL);
+  assert_string_equal (messages->str, "");
   assert_int_equal (config->data_centre_count, 2);
   assert_string_equal (config->data_centres[0].name, "b");
   char *text = cfg_emit (config);
   struct cfg_config *again
-      = cfg_parse ("again", text, strlen (text), complaints, NULL);
+      = cfg_parse ("again", text, strlen (text), messages, NULL);
   assert_non_null (again);
   g_free (text);
   cfg_config_destroy (again);
   cfg_config_destroy (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (wrong_registers_are_refused),
+    cmocka_unit_test (invalid_registers_are_rejected),
     cmocka_unit_test (units_are_converted),
-    cmocka_unit_test (hosts_of_the_base_are_replaced),
-    cmocka_unit_test (services_may_stand_in_the_register),
-    cmocka_unit_test (a_register_alone_makes_a_configuration),
+    cmocka_unit_test (hosts_of_base_are_replaced),
+    cmocka_unit_test (register_may_list_service_hosts),
+    cmocka_unit_test (register_without_base_creates_configuration),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
