--- a/test/parse_test.c
+++ b/test/parse_test.c
@@ -9,27 +9,30 @@
 
 #include <cmocka.h>
 
-#define SHA "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
-#define SHA_OTHER                                                             \
+#define TOKEN_SHA256                                                          \
+  "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
+#define OTHER_TOKEN_SHA256                                                    \
   "1123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
-#define CENTRES "data_centres: [{name: a, region: r}, {name: b, region: r}]\n"
+#define DATA_CENTRES                                                          \
+  "data_centres: [{name: a, region: r}, {name: b, region: r}]\n"
 #define ENGINE                                                                \
   "role: engine, data_centre: a, kind: k, accelerators: 1, memory_mib: 1, "   \
   "layer_tokens_per_s: 1"
 
 static struct cfg_config *
-parse (const char *text, GString *complaints, GError **error)
+parse (const char *text, GString *messages, GError **error)
 {
-  return cfg_parse ("f.yaml", text, strlen (text), complaints, error);
+  return cfg_parse ("f.yaml", text, strlen (text), messages, error);
 }
 
-struct refused_case
+/* A configuration with errors. */
+struct invalid_case
 {
   const char *text;
-  const char *complaints[4]; /* in order; text that each line starts with */
+  const char *messages[4]; /* in order; text that each line starts with */
 };
 
-static const struct refused_case refused_cases[] = {
+static const struct invalid_case invalid_cases[] = {
   /* the document */
   { "", { "f.yaml:1: empty" } },
   { "version: 1\n--- \nversion: 1\n", { "f.yaml:2: a second document" } },
@@ -78,49 +81,51 @@
   { "version: 1\ndata_centres:\n  - {name: a, region: r}\n  - {name: a, "
     "region: r}\n",
     { "f.yaml:4: data_centres[1].name: 'a' is already used on line 3" } },
-  { "version: 1\n" CENTRES
+  { "version: 1\n" DATA_CENTRES
     "links: [{from: a, to: c, delay_us: 1, mbit_per_s: 1}]\n",
     { "f.yaml:3: links[0].to: 'c' is not listed; allowed: a name listed under "
       "data_centres" } },
-  { "version: 1\n" CENTRES
+  { "version: 1\n" DATA_CENTRES
     "links: [{from: a, to: a, delay_us: 1, mbit_per_s: 1}]\n",
     { "f.yaml:3: links[0].to: the same data centre" } },
-  { "version: 1\n" CENTRES "links:\n  - {from: a, to: b, delay_us: 1, "
+  { "version: 1\n" DATA_CENTRES "links:\n  - {from: a, to: b, delay_us: 1, "
     "mbit_per_s: 1}\n  - {from: b, to: a, delay_us: 1, mbit_per_s: 1}\n",
     { "f.yaml:5: links[1]: the pair is listed already" } },
   /* hosts */
-  { "version: 1\n" CENTRES "hosts: [{name: h, address: '1.2.3.4:0', " ENGINE
-    "}]\n",
+  { "version: 1\n" DATA_CENTRES
+    "hosts: [{name: h, address: '1.2.3.4:0', " ENGINE "}]\n",
     { "f.yaml:3: hosts[0].address: '1.2.3.4:0' is not allowed; allowed: "
       "IP:PORT" } },
-  { "version: 1\n" CENTRES "hosts: [{name: h, address: 'db:80', " ENGINE
+  { "version: 1\n" DATA_CENTRES "hosts: [{name: h, address: 'db:80', " ENGINE
     "}]\n",
     { "f.yaml:3: hosts[0].address: 'db:80' is not allowed" } },
-  { "version: 1\n" CENTRES
+  { "version: 1\n" DATA_CENTRES
     "hosts:\n  - {name: h, address: '1.2.3.4:1', " ENGINE
     "}\n  - {name: i, address: '1.2.3.4:1', " ENGINE "}\n",
     { "f.yaml:5: hosts[1].address: an earlier item has the same value" } },
-  { "version: 1\n" CENTRES "hosts: [{name: h, address: '1.2.3.4:1', role: "
+  { "version: 1\n" DATA_CENTRES
+    "hosts: [{name: h, address: '1.2.3.4:1', role: "
     "service, data_centre: a, kind: k}]\n",
     { "f.yaml:3: hosts[0].kind: does not fit the role; allowed: only for role "
       "engine",
       "f.yaml:3: hosts[0].service: is missing; role service needs it" } },
-  { "version: 1\n" CENTRES "hosts: [{name: h, address: '1.2.3.4:1', role: "
+  { "version: 1\n" DATA_CENTRES
+    "hosts: [{name: h, address: '1.2.3.4:1', role: "
     "engine, data_centre: a, kind: k, accelerators: 1, memory_mib: 1}]\n",
     { "f.yaml:3: hosts[0].layer_tokens_per_s: is missing; role engine" } },
   /* accounts */
   { "version: 1\naccounts: [{name: a, token_sha256: my-secret}]\n",
     { "f.yaml:2: accounts[0].token_sha256: the value is not allowed; allowed: "
       "64 lower-case hexadecimal digits" } },
-  { "version: 1\naccounts:\n  - {name: a, token_sha256: " SHA
-    "}\n  - {name: b, token_sha256: " SHA "}\n",
+  { "version: 1\naccounts:\n  - {name: a, token_sha256: " TOKEN_SHA256
+    "}\n  - {name: b, token_sha256: " TOKEN_SHA256 "}\n",
     { "f.yaml:4: accounts[1].token_sha256: an earlier item has the same "
       "value" } },
-  { "version: 1\naccounts: [{name: a, token_sha256: " SHA
+  { "version: 1\naccounts: [{name: a, token_sha256: " TOKEN_SHA256
     ", objective: {availability: 1.5}}]\n",
     { "f.yaml:2: accounts[0].objective.availability: '1.5' is out of range; "
       "allowed: a number, 0.5 to 0.999999" } },
-  { "version: 1\naccounts: [{name: a, token_sha256: " SHA
+  { "version: 1\naccounts: [{name: a, token_sha256: " TOKEN_SHA256
     ", objective: {availability: nan}}]\n",
     { "f.yaml:2: accounts[0].objective.availability: 'nan' is not a" } },
   /* services */
@@ -130,55 +135,58 @@
       "f.yaml:2: services[0].idempotent[0].path_prefix: 'x' is not" } },
 };
 
-/* Each error is one line with its place, and nothing is returned.  */
+/* Each error is one line with the file, line and key, and cfg_parse returns
+   NULL.  */
 static void
-wrong_configurations_are_refused (void **state)
+invalid_configurations_are_rejected (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < G_N_ELEMENTS (refused_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid_cases); i++)
     {
-      const struct refused_case *c = &refused_cases[i];
-      GString *complaints = g_string_new (NULL);
+      const struct invalid_case *c = &invalid_cases[i];
+      GString *messages = g_string_new (NULL);
       GError *error = NULL;
-      struct cfg_config *config = parse (c->text, complaints, &error);
+      struct cfg_config *config = parse (c->text, messages, &error);
       assert_null (config);
       assert_int_equal (err_kind_of (error), ERR_CONFIG_INVALID);
-      char **lines = g_strsplit (complaints->str, "\n", 0);
-      for (size_t j = 0; j < G_N_ELEMENTS (c->complaints); j++)
+      char **lines = g_strsplit (messages->str, "\n", 0);
+      for (size_t j = 0; j < G_N_ELEMENTS (c->messages); j++)
         {
-          if (c->complaints[j] != NULL
-              && !g_str_has_prefix (lines[j], c->complaints[j]))
+          if (c->messages[j] != NULL
+              && !g_str_has_prefix (lines[j], c->messages[j]))
             {
               fail_msg ("case %zu: `%s' does not start with `%s'", i, lines[j],
-                        c->complaints[j]);
+                        c->messages[j]);
             }
         }
       g_strfreev (lines);
       g_clear_error (&error);
-      g_string_free (complaints, TRUE);
+      g_string_free (messages, TRUE);
     }
 }
 
-/* A secret that was put where its sum belongs is not printed.  */
+/* A token that is given in place of its SHA-256 digest does not appear in the
+   error message.  */
 static void
-secrets_are_not_quoted (void **state)
+secrets_are_not_shown (void **state)
 {
   (void)state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   struct cfg_config *config
       = parse ("version: 1\naccounts: [{name: a, token_sha256: my-secret}]\n",
-               complaints, NULL);
+               messages, NULL);
   assert_null (config);
-  assert_null (strstr (complaints->str, "my-secret"));
-  g_string_free (complaints, TRUE);
+  assert_null (strstr (messages->str, "my-secret"));
+  g_string_free (messages, TRUE);
 }
 
-/* Every key lands in its member, with its unit.  */
+/* The value of each key is stored in its member, converted to the unit of the
+   member.  */
 static void
 values_are_converted (void **state)
 {
   (void)state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   GError *error = NULL;
   struct cfg_config *config = parse (
       "version: 3\n"
@@ -189,18 +197,18 @@
       "checked, draining: true}\n"
       "  - {name: s, address: '1.2.3.4:9', role: service, data_centre: a, "
       "service: t}\n"
-      "accounts: [{name: x, token_sha256: " SHA_OTHER
+      "accounts: [{name: x, token_sha256: " OTHER_TOKEN_SHA256
       ", requests_per_s: 5, tokens_per_s: 6, streams: 7, weight: 8, "
       "objective: {availability: 0.99, first_token_ms: 1, between_tokens_ms: "
       "2, settled_ms: 3}}]\n"
       "models: [{name: m, layers: 9, layer_memory_mib: 10, activation_bytes: "
-      "11, demand_weight: 12}]\n" CENTRES
+      "11, demand_weight: 12}]\n" DATA_CENTRES
       "links: [{from: b, to: a, delay_us: 13, mbit_per_s: 8}]\n"
       "services: [{name: q}, {name: t, idempotent: [{method: GET, "
       "path_prefix: /l}]}]\n"
       "rules: {profile: recovery, spare_hosts: 0, max_tokens: 5}\n",
-      complaints, &error);
-  assert_string_equal (complaints->str, "");
+      messages, &error);
+  assert_string_equal (messages->str, "");
   assert_non_null (config);
   assert_null (error);
   assert_int_equal (config->version, 3);
@@ -219,7 +227,7 @@
   assert_int_equal (config->hosts[1].service, 1);
   assert_false (config->hosts[1].draining);
   const struct cfg_account *account = &config->accounts[0];
-  assert_string_equal (account->token_sha256, SHA_OTHER);
+  assert_string_equal (account->token_sha256, OTHER_TOKEN_SHA256);
   assert_int_equal (account->weight, 8);
   assert_true (account->objective.availability == 0.99);
   assert_int_equal (account->objective.first_token_us, 1000);
@@ -236,12 +244,13 @@
   assert_int_equal (config->rules.max_tokens, 5);
   assert_int_equal (config->rules.queue_length, 256);
   cfg_config_destroy (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
 }
 
-/* Hostile text ends in a short list of complaints.  */
+/* Malicious text is rejected with a bounded amount of error messages: text
+   that is too long, nested too deeply, or has very many errors or values.  */
 static void
-hostile_text_is_bounded (void **state)
+errors_of_malicious_text_are_bounded (void **state)
 {
   (void)state;
   GString *big[4];
@@ -261,13 +270,13 @@
     }
   for (size_t i = 0; i < G_N_ELEMENTS (big); i++)
     {
-      GString *complaints = g_string_new (NULL);
+      GString *messages = g_string_new (NULL);
       GError *error = NULL;
-      assert_null (parse (big[i]->str, complaints, &error));
+      assert_null (parse (big[i]->str, messages, &error));
       assert_int_equal (err_kind_of (error), ERR_CONFIG_INVALID);
-      assert_in_range (complaints->len, 1, 100000);
+      assert_in_range (messages->len, 1, 100000);
       g_clear_error (&error);
-      g_string_free (complaints, TRUE);
+      g_string_free (messages, TRUE);
       g_string_free (big[i], TRUE);
     }
 }
@@ -276,10 +285,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (wrong_configurations_are_refused),
-    cmocka_unit_test (secrets_are_not_quoted),
+    cmocka_unit_test (invalid_configurations_are_rejected),
+    cmocka_unit_test (secrets_are_not_shown),
     cmocka_unit_test (values_are_converted),
-    cmocka_unit_test (hostile_text_is_bounded),
+    cmocka_unit_test (errors_of_malicious_text_are_bounded),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
