--- a/test/settings_test.c
+++ b/test/settings_test.c
@@ -19,7 +19,7 @@
 #define SECRETS "operator_token_file: token\npeer_secret_file: ./secret\n"
 #define NAMES "name: d\ndata_centre: a\n"
 
-/* A folder with files of secrets. */
+/* A temporary folder with the settings and the files with secrets. */
 struct folder
 {
   char *path;
@@ -69,25 +69,26 @@
   return 0;
 }
 
-/* Loads settings from TEXT.  */
+/* Writes TEXT to settings.yaml in FOLDER and loads it.  */
 static struct set_settings *
-load (const struct folder *folder, const char *text, GString *complaints,
+load (const struct folder *folder, const char *text, GString *messages,
       GError **error)
 {
   write_file (folder, "settings.yaml", text);
   char *path = g_build_filename (folder->path, "settings.yaml", NULL);
-  struct set_settings *settings = set_load (path, complaints, error);
+  struct set_settings *settings = set_load (path, messages, error);
   g_free (path);
   return settings;
 }
 
-struct refused_case
+/* Settings with errors. */
+struct invalid_case
 {
   const char *text;
-  const char *complaints[3]; /* after the file's name, in order */
+  const char *messages[3]; /* part of each line, in order */
 };
 
-static const struct refused_case refused_cases[] = {
+static const struct invalid_case invalid_cases[] = {
   { "name: d\n" ADDRESSES URLS SECRETS, { ":1: data_centre: is missing" } },
   { NAMES ADDRESSES URLS SECRETS "trafic_threads: 1\n",
     { ":10: trafic_threads: unknown key, did you mean 'traffic_threads'" } },
@@ -112,28 +113,29 @@
 };
 
 static void
-wrong_settings_are_refused (void **state)
+invalid_settings_are_rejected (void **state)
 {
   const struct folder *folder = *state;
-  for (size_t i = 0; i < G_N_ELEMENTS (refused_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid_cases); i++)
     {
-      const struct refused_case *c = &refused_cases[i];
-      GString *complaints = g_string_new (NULL);
+      const struct invalid_case *c = &invalid_cases[i];
+      GString *messages = g_string_new (NULL);
       GError *error = NULL;
-      assert_null (load (folder, c->text, complaints, &error));
+      assert_null (load (folder, c->text, messages, &error));
       assert_int_equal (err_kind_of (error), ERR_SETTINGS);
-      char **lines = g_strsplit (complaints->str, "\n", 0);
-      for (size_t j = 0; j < G_N_ELEMENTS (c->complaints); j++)
+      char **lines = g_strsplit (messages->str, "\n", 0);
+      for (size_t j = 0; j < G_N_ELEMENTS (c->messages); j++)
         {
-          const char *wanted = c->complaints[j];
-          if (wanted != NULL && strstr (lines[j], wanted) == NULL)
+          const char *expected = c->messages[j];
+          if (expected != NULL && strstr (lines[j], expected) == NULL)
             {
-              fail_msg ("case %zu: `%s' is without `%s'", i, lines[j], wanted);
+              fail_msg ("case %zu: `%s' is without `%s'", i, lines[j],
+                        expected);
             }
         }
       g_strfreev (lines);
       g_clear_error (&error);
-      g_string_free (complaints, TRUE);
+      g_string_free (messages, TRUE);
     }
 }
 
@@ -141,15 +143,15 @@
 settings_are_read (void **state)
 {
   const struct folder *folder = *state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   GError *error = NULL;
   struct set_settings *settings
       = load (folder,
               NAMES ADDRESSES URLS SECRETS
               "seeds: [127.0.0.1:1, 127.0.0.1:2]\nlog_level: warning\n"
               "traffic_threads: 3\ncaller_timeout_ms: 500\n",
-              complaints, &error);
-  assert_string_equal (complaints->str, "");
+              messages, &error);
+  assert_string_equal (messages->str, "");
   assert_non_null (settings);
   assert_string_equal (settings->name, "d");
   assert_string_equal (settings->data_centre, "a");
@@ -166,53 +168,54 @@
   assert_int_equal (settings->traffic_threads, 3);
   assert_int_equal (settings->caller_timeout_ms, 500);
   set_destroy (settings);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
 }
 
 static void
-defaults_fill_what_is_left_out (void **state)
+missing_keys_get_defaults (void **state)
 {
   const struct folder *folder = *state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   struct set_settings *settings
-      = load (folder, NAMES ADDRESSES URLS SECRETS, complaints, NULL);
+      = load (folder, NAMES ADDRESSES URLS SECRETS, messages, NULL);
   assert_non_null (settings);
   assert_null (settings->seeds[0]);
   assert_int_equal (settings->log_level, LOG_INFO);
   assert_int_equal (settings->traffic_threads, 8);
   assert_int_equal (settings->caller_timeout_ms, 10000);
   set_destroy (settings);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
 }
 
-/* A missing file and one over the size bound are named.  */
+/* The message for a missing file has its path, and the message for a file over
+   the size limit has the limit.  */
 static void
-unreadable_files_are_refused (void **state)
+unreadable_files_are_rejected (void **state)
 {
   const struct folder *folder = *state;
-  GString *complaints = g_string_new (NULL);
+  GString *messages = g_string_new (NULL);
   GError *error = NULL;
-  assert_null (set_load ("/nonexistent/settings.yaml", complaints, &error));
+  assert_null (set_load ("/nonexistent/settings.yaml", messages, &error));
   assert_int_equal (err_kind_of (error), ERR_SETTINGS);
-  assert_non_null (strstr (complaints->str, "/nonexistent/settings.yaml:1:"));
+  assert_non_null (strstr (messages->str, "/nonexistent/settings.yaml:1:"));
   g_clear_error (&error);
-  g_string_truncate (complaints, 0);
+  g_string_truncate (messages, 0);
   char *huge = g_strnfill ((gsize)1 << 20, '#');
-  assert_null (load (folder, huge, complaints, &error));
-  assert_non_null (strstr (complaints->str, "too long; allowed: up to 65536"));
+  assert_null (load (folder, huge, messages, &error));
+  assert_non_null (strstr (messages->str, "too long; allowed: up to 65536"));
   g_free (huge);
   g_clear_error (&error);
-  g_string_free (complaints, TRUE);
+  g_string_free (messages, TRUE);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (wrong_settings_are_refused),
+    cmocka_unit_test (invalid_settings_are_rejected),
     cmocka_unit_test (settings_are_read),
-    cmocka_unit_test (defaults_fill_what_is_left_out),
-    cmocka_unit_test (unreadable_files_are_refused),
+    cmocka_unit_test (missing_keys_get_defaults),
+    cmocka_unit_test (unreadable_files_are_rejected),
   };
   return cmocka_run_group_tests (tests, create_folder, remove_folder);
 }
