--- a/src/config/parse.c
+++ b/src/config/parse.c
@@ -67,28 +67,28 @@
     const char *key;
     bool present;
     enum cfg_host_role role;
-  } needs[] = {
+  } role_keys[] = {
     { "kind", host->kind[0] != '\0', CFG_HOST_ENGINE },
     { "accelerators", host->accelerators > 0, CFG_HOST_ENGINE },
     { "memory_mib", host->memory_mib > 0, CFG_HOST_ENGINE },
     { "layer_tokens_per_s", host->layer_tokens_per_s > 0, CFG_HOST_ENGINE },
     { "service", host->service != CFG_NO_INDEX, CFG_HOST_SERVICE },
   };
-  for (size_t i = 0; i < G_N_ELEMENTS (needs); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (role_keys); i++)
     {
       const char *role
-          = needs[i].role == CFG_HOST_ENGINE ? "engine" : "service";
-      if (needs[i].role == host->role && !needs[i].present)
+          = role_keys[i].role == CFG_HOST_ENGINE ? "engine" : "service";
+      if (role_keys[i].role == host->role && !role_keys[i].present)
         {
           cmp_add (errors, line, "hosts[%u].%s: is missing; role %s needs it",
-                   index, needs[i].key, role);
+                   index, role_keys[i].key, role);
         }
-      else if (needs[i].role != host->role && needs[i].present)
+      else if (role_keys[i].role != host->role && role_keys[i].present)
         {
           cmp_add (errors, line,
                    "hosts[%u].%s: does not fit the role; allowed: only for "
                    "role %s",
-                   index, needs[i].key, role);
+                   index, role_keys[i].key, role);
         }
     }
 }
--- a/src/config/schema.c
+++ b/src/config/schema.c
@@ -5,9 +5,9 @@
 
 #include <string.h>
 
-#define KEYS_MAX 64     /* of one schema */
-#define QUOTED_BYTES 64 /* buffer for a quoted value */
-#define KEY_CHARACTERS_MAX 40
+#define KEYS_MAX 64           /* of one schema */
+#define QUOTED_BYTES 64       /* buffer for a quoted value */
+#define KEY_CHARACTERS_MAX 40 /* of a key in a message */
 
 static void read_map (struct sch_reader *reader,
                       const struct sch_schema *schema,
@@ -38,6 +38,7 @@
 {
   if (cmp_is_full (reader->errors))
     {
+      /* The message would not be kept: skip the search for the nearest key. */
       reader->errors->count++;
       return;
     }
@@ -201,7 +202,8 @@
   read_field (reader, &schema->fields[index], value, out);
 }
 
-/* Sets the struct OUT to its defaults and reads the map NODE into it.  */
+/* Sets the struct OUT to the defaults of SCHEMA, if it has any, and reads the
+   map NODE into OUT.  Members whose keys are missing keep their values.  */
 static void
 read_map (struct sch_reader *reader, /* NOLINT(misc-no-recursion) */
           const struct sch_schema *schema, const struct yt_node *node,
@@ -244,8 +246,10 @@
 }
 
 /* Reads ROOT into OUT, a struct that SCHEMA describes.  Adds every error to
-   ERRORS and returns true if there was none.  OUT owns the memory allocated
-   for its values, also after an error; the caller frees it.  */
+   ERRORS and returns true if there was none.  The caller initialises OUT, as a
+   key that is missing and has no default leaves its member unchanged.  OUT
+   owns the memory allocated for its values, also after an error; the caller
+   frees it.  */
 bool
 sch_read (const struct sch_schema *schema, const struct yt_node *root,
           void *out, struct cmp_list *errors)
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -56,8 +56,8 @@
 /* A map and the struct that holds its values. */
 struct sch_schema
 {
-  size_t bytes;           /* of the struct */
-  const void *defaults;   /* such a struct, or NULL for all zeros */
+  size_t bytes;         /* of the struct */
+  const void *defaults; /* such a struct; NULL: sch_read keeps what OUT has */
   const char *unique_key; /* key whose value is unique in a list, or NULL */
   const struct sch_field *fields;
   size_t field_count;
