--- a/src/config/parse.c
+++ b/src/config/parse.c
@@ -163,8 +163,8 @@
 }
 
 /* Reads a configuration from the tree ROOT, which is NULL after a failed
-   parse. Returns NULL when ERRORS has any error, added here or before.  The
-   caller frees the result with cfg_config_destroy.  */
+   parse.  Returns NULL when ERRORS has an error, added here or earlier.
+   The caller frees the result with cfg_config_destroy.  */
 struct cfg_config *
 cfg_read_tree (const struct yt_node *root, struct cmp_list *errors)
 {
