--- a/src/config/schema_value.c
+++ b/src/config/schema_value.c
@@ -245,8 +245,8 @@
 };
 
 /* Converts the scalar NODE to the type of FIELD and stores the value in
-   MEMBER. When the value is invalid, adds an error and leaves MEMBER
-   unchanged.  */
+   MEMBER, or adds an error and leaves MEMBER unchanged when the value is
+   invalid.  */
 void
 sch_read_scalar (struct sch_reader *reader, const struct sch_field *field,
                  const struct yt_node *node, void *member)
