--- a/src/daemon/backend.c
+++ b/src/daemon/backend.c
@@ -21,11 +21,11 @@
            struct cal_account *account, struct err_failure *failure)
 {
   struct bk_backend *backend = user_data;
-  const struct vw_view *view = vw_enter (backend->views);
+  const struct vw_view *view = vw_read_begin (backend->views);
   enum err_kind kind = ERR_NOT_READY;
   if (view != NULL)
     {
-      account->index = vw_find (view->account_by_token, token_sha256);
+      account->index = vw_find_index (view->account_by_token, token_sha256);
       kind = account->index == CFG_NO_INDEX ? ERR_UNAUTHORIZED : ERR_NONE;
     }
   if (kind == ERR_NONE)
@@ -34,7 +34,7 @@
                  view->snap.config->accounts[account->index].name,
                  sizeof account->name);
     }
-  vw_leave ();
+  vw_read_end ();
   if (kind != ERR_NONE)
     {
       err_fail (failure, kind, NULL);
@@ -47,10 +47,11 @@
 accept_draft (struct bk_backend *backend, const struct cal_draft *draft,
               struct dft_draft *out, struct err_failure *failure)
 {
-  const struct vw_view *view = vw_enter (backend->views);
+  const struct vw_view *view = vw_read_begin (backend->views);
   const struct cfg_rules rules = view->snap.config->rules;
-  bool known = vw_find (view->model_by_name, draft->model) != CFG_NO_INDEX;
-  vw_leave ();
+  bool known
+      = vw_find_index (view->model_by_name, draft->model) != CFG_NO_INDEX;
+  vw_read_end ();
   if (!known)
     {
       err_fail (failure, ERR_NOT_FOUND, "model: no such model");
@@ -88,7 +89,7 @@
   struct token_relay *relay = user_data;
   if (relay->last_us != 0)
     {
-      gt_observe_step (relay->gate, now_us - relay->last_us);
+      gt_observe_token_interval (relay->gate, now_us - relay->last_us);
     }
   else
     {
@@ -195,14 +196,14 @@
     .tokens = accepted.max_tokens,
     .deadline_us = terms->deadline_us,
   };
-  if (!gt_enter (backend->gate, &request, &verdict, failure))
+  if (!gt_admit (backend->gate, &request, &verdict, failure))
     {
       count_refusal (backend, account, BRN_DRAFT, failure->kind);
       return false;
     }
   accepted.priority = verdict.step_priority;
   dft_run (&env, &accepted, relay_token, &relay, &run);
-  gt_leave (backend->gate, request.id, run.tokens);
+  gt_finish (backend->gate, request.id, run.tokens);
   cnt_add (backend->metrics->attempts, run.attempts);
   log_draft (&run, account, terms);
   count_draft (backend, account, &run, &relay, began_us);
@@ -242,7 +243,7 @@
   };
   enum brn_work work = call->key != NULL ? BRN_KEYED : BRN_LOOKUP;
   int64_t began_us = clk_monotonic_us ();
-  if (!gt_enter (backend->gate, &request, &verdict, failure))
+  if (!gt_admit (backend->gate, &request, &verdict, failure))
     {
       count_refusal (backend, account, work, failure->kind);
       if (call->key != NULL)
@@ -253,7 +254,7 @@
       return false;
     }
   bool answered = sc_run (&env, account, terms, call, answer, failure);
-  gt_leave (backend->gate, request.id, 0);
+  gt_finish (backend->gate, request.id, 0);
   struct brn_event event = {
     .work = work,
     .error = answered ? ERR_NONE : failure->kind,
@@ -270,7 +271,7 @@
             const char *key, char **outcome, struct err_failure *failure)
 {
   struct bk_backend *backend = user_data;
-  return sc_lookup (backend->control, account, key, outcome, failure);
+  return sc_lookup_key (backend->control, account, key, outcome, failure);
 }
 
 static bool
@@ -279,7 +280,7 @@
   struct bk_backend *backend = user_data;
   json_t *data = json_array ();
   (void)failure;
-  const struct vw_view *view = vw_enter (backend->views);
+  const struct vw_view *view = vw_read_begin (backend->views);
   for (uint32_t i = 0; i < view->snap.config->model_count; i++)
     {
       json_array_append_new (data,
@@ -287,7 +288,7 @@
                                         view->snap.config->models[i].name,
                                         "object", "model"));
     }
-  vw_leave ();
+  vw_read_end ();
   json_t *body = json_pack ("{s:s, s:o}", "object", "list", "data", data);
   *models = json_dumps (body, JSON_COMPACT);
   json_decref (body);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -96,7 +96,8 @@
 static void
 dispatch_call (struct ctl_control *control, uint64_t request_id)
 {
-  struct kc_call *call = g_hash_table_lookup (control->calls, &request_id);
+  struct kc_call *call
+      = g_hash_table_lookup (control->keyed_calls, &request_id);
   if (call == NULL)
     {
       clm_not_run (control->claims, request_id, ERR_CALLER_GONE,
@@ -110,11 +111,11 @@
 answer_call (struct ctl_control *control, const struct act_answer *answer)
 {
   struct kc_call *call
-      = g_hash_table_lookup (control->calls, &answer->request_id);
+      = g_hash_table_lookup (control->keyed_calls, &answer->request_id);
   if (call != NULL)
     {
       kc_answer (call, answer);
-      g_hash_table_remove (control->calls, &answer->request_id);
+      g_hash_table_remove (control->keyed_calls, &answer->request_id);
     }
 }
 
@@ -190,7 +191,7 @@
   cnt_put (metrics->capacity, (int64_t)control->capacity_tokens_per_s);
   cnt_put (metrics->config_version,
            (int64_t)cst_current_version (control->config_state));
-  cnt_put (metrics->daemons_ready, control->daemons);
+  cnt_put (metrics->daemons_ready, control->ready_daemons);
   cnt_put (metrics->ready, ctl_ready (control) ? 1 : 0);
   cnt_put (metrics->claims_active, claims.active);
   cnt_put (metrics->keys, claims.keys);
@@ -205,16 +206,17 @@
   int64_t now_us = clk_monotonic_us ();
   clm_tick (control->claims, now_us, control->actions);
   cst_tick (control->config_state, now_us, control->actions);
-  control->may_serve = cst_serving_allowed (control->config_state, now_us);
+  control->serving_allowed
+      = cst_serving_allowed (control->config_state, now_us);
   ctl_perform_actions (control);
   ctl_publish_view (control);
-  gt_pump (control->params.gate);
-  if (is_due (&control->next_fleet_us, now_us, FLEET_INTERVAL_US))
+  gt_process_queue (control->params.gate);
+  if (is_due (&control->next_fleet_tick_us, now_us, FLEET_INTERVAL_US))
     {
       ctl_poll_loads (control);
       ctl_peers_tick (control);
     }
-  if (is_due (&control->next_slow_us, now_us, SLOW_INTERVAL_US))
+  if (is_due (&control->next_slow_tick_us, now_us, SLOW_INTERVAL_US))
     {
       ctl_update_capacity (control);
       ctl_orders_tick (control);
@@ -256,12 +258,13 @@
   control->config_state = ctl_create_config_state (control->incarnation);
   const struct brn_params burn = { .incarnation = control->incarnation };
   control->burn = brn_create (&burn);
-  control->leaving = lv_create ();
+  control->leaving_hosts = lv_create ();
   control->actions = act_list_create ();
   control->endpoints = ept_table_create ();
-  control->publishes = g_hash_table_new (g_int64_hash, g_int64_equal);
-  control->reports = g_hash_table_new_full (NULL, NULL, NULL, g_free);
-  control->calls
+  control->pending_publications
+      = g_hash_table_new (g_int64_hash, g_int64_equal);
+  control->load_reports = g_hash_table_new_full (NULL, NULL, NULL, g_free);
+  control->keyed_calls
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, unref_call);
 }
 
@@ -284,12 +287,12 @@
     }
   g_main_loop_unref (control->loop);
   g_main_context_unref (control->context);
-  g_hash_table_destroy (control->calls);
-  g_hash_table_destroy (control->publishes);
+  g_hash_table_destroy (control->keyed_calls);
+  g_hash_table_destroy (control->pending_publications);
   g_free (control->config_yaml);
-  g_hash_table_destroy (control->reports);
+  g_hash_table_destroy (control->load_reports);
   act_list_destroy (control->actions);
-  lv_destroy (control->leaving);
+  lv_destroy (control->leaving_hosts);
   brn_destroy (control->burn);
   clm_destroy (control->claims);
   cst_destroy (control->config_state);
@@ -310,7 +313,7 @@
   control->incarnation = new_incarnation ();
   control->context = g_main_context_new ();
   control->loop = g_main_loop_new (control->context, FALSE);
-  control->daemons = 1;
+  control->ready_daemons = 1;
   create_machines (control);
   if (!ctl_peers_start (control, error))
     {
@@ -321,8 +324,8 @@
   struct lio_params log_io = {
     .urls = params->settings->log_urls,
     .streams = streams,
-    .on_page = ctl_take_page,
-    .on_append = ctl_take_append,
+    .on_page = ctl_handle_log_page,
+    .on_append = ctl_handle_append_result,
     .user_data = control,
   };
   struct pol_callbacks polls = ctl_poller_callbacks ();
@@ -359,7 +362,7 @@
 bool
 ctl_ready (const struct ctl_control *control)
 {
-  return control->has_config && control->may_serve && !control->stopping;
+  return control->has_config && control->serving_allowed && !control->stopping;
 }
 
 /* Makes the daemon unready; requests that still arrive are served.  */
--- a/src/daemon/control_burn.c
+++ b/src/daemon/control_burn.c
@@ -61,8 +61,8 @@
 
 /* Takes the result of an append of ctl_burn_tick.  */
 void
-ctl_burn_append (struct ctl_control *control, uint64_t token,
-                 enum err_kind result)
+ctl_burn_handle_append_result (struct ctl_control *control, uint64_t token,
+                               enum err_kind result)
 {
   brn_append_result (control->burn, token, result, clk_monotonic_us ());
 }
@@ -81,17 +81,18 @@
           brn_merge (control->burn, burn);
           brn_record_destroy (burn);
         }
-      control->burn_offset = MAX (control->burn_offset, record->offset + 1);
+      control->next_burn_offset
+          = MAX (control->next_burn_offset, record->offset + 1);
       g_bytes_unref (bytes);
     }
-  control->burn_offset = MAX (control->burn_offset, page->first);
+  control->next_burn_offset = MAX (control->next_burn_offset, page->first);
 }
 
 static void
 read_offset (struct ctl_control *control, void *data)
 {
   uint64_t *offset = data;
-  *offset = control->burn_offset;
+  *offset = control->next_burn_offset;
 }
 
 /* Reads what the other daemons wrote since the last report.  */
--- a/src/daemon/control_burn.h
+++ b/src/daemon/control_burn.h
@@ -21,8 +21,8 @@
 void ctl_burn_observe (struct ctl_control *control,
                        const struct brn_event *event);
 void ctl_burn_tick (struct ctl_control *control);
-void ctl_burn_append (struct ctl_control *control, uint64_t token,
-                      enum err_kind result);
+void ctl_burn_handle_append_result (struct ctl_control *control,
+                                    uint64_t token, enum err_kind result);
 json_t *ctl_burn_report (struct ctl_control *control);
 
 #endif
--- a/src/daemon/control_config.c
+++ b/src/daemon/control_config.c
@@ -12,7 +12,7 @@
 #define LOG_RETENTION_US (INT64_C (48) * 3600 * CLK_S_US)
 
 /* A publisher that waits for the log's order to decide. */
-struct pub_wait
+struct publish_wait
 {
   uint64_t id;
   const struct opr_publish *publish;
@@ -33,8 +33,8 @@
     {
       const struct cfg_host *host = &config->hosts[i];
       struct lv_outcome outcome = lv_drain_says (
-          control->leaving, host->name, config->version, host->draining);
-      ctl_take_leaving (control, &outcome);
+          control->leaving_hosts, host->name, config->version, host->draining);
+      ctl_apply_leaving_outcome (control, &outcome);
     }
 }
 
@@ -65,7 +65,7 @@
   control->config = config;
   control->config_yaml = g_strndup (yaml, yaml_bytes);
   control->view_outdated = true;
-  control->next_fleet_us = 0;
+  control->next_fleet_tick_us = 0;
   g_string_free (complaints, TRUE);
   take_drains (control);
   lg_line (LOG_NOTICE, "config-applied", "version=%lu hosts=%u accounts=%u",
@@ -102,13 +102,13 @@
 ctl_answer_publisher (struct ctl_control *control,
                       const struct act_answer_publish *answer)
 {
-  struct pub_wait *wait
-      = g_hash_table_lookup (control->publishes, &answer->request_id);
+  struct publish_wait *wait = g_hash_table_lookup (
+      control->pending_publications, &answer->request_id);
   if (wait == NULL)
     {
       return;
     }
-  g_hash_table_remove (control->publishes, &answer->request_id);
+  g_hash_table_remove (control->pending_publications, &answer->request_id);
   pthread_mutex_lock (&wait->lock);
   wait->answered = true;
   wait->kind = answer->kind;
@@ -120,14 +120,14 @@
 static void
 begin_publish (struct ctl_control *control, void *data)
 {
-  struct pub_wait *wait = data;
+  struct publish_wait *wait = data;
   struct cst_publication publication = {
     .request_id = wait->id,
     .base_version = wait->base_version,
     .publisher = wait->publish->publisher,
     .yaml = g_bytes_new (wait->publish->yaml, wait->publish->yaml_bytes),
   };
-  g_hash_table_insert (control->publishes, &wait->id, wait);
+  g_hash_table_insert (control->pending_publications, &wait->id, wait);
   cst_publish (control->config_state, &publication, clk_monotonic_us (),
                control->actions);
   g_bytes_unref (publication.yaml);
@@ -137,12 +137,12 @@
 static void
 forget_publish (struct ctl_control *control, void *data)
 {
-  struct pub_wait *wait = data;
-  g_hash_table_remove (control->publishes, &wait->id);
+  struct publish_wait *wait = data;
+  g_hash_table_remove (control->pending_publications, &wait->id);
 }
 
 static void
-wait_for_answer (struct pub_wait *wait)
+wait_for_answer (struct publish_wait *wait)
 {
   struct timespec until;
   clock_gettime (CLOCK_REALTIME, &until);
@@ -173,7 +173,7 @@
       g_string_free (complaints, TRUE);
       return false;
     }
-  struct pub_wait wait = {
+  struct publish_wait wait = {
     .id = ctl_new_id (control),
     .publish = publish,
     .base_version = config->version - 1,
--- a/src/daemon/control_endpoints.c
+++ b/src/daemon/control_endpoints.c
@@ -56,17 +56,17 @@
   ld_report (&endpoint->load, event->load.running, event->load.queued,
              event->load.leaving, now_us);
   struct lv_outcome outcome = lv_endpoint_says (
-      control->leaving, endpoint->host, 0, event->load.leaving, now_us);
+      control->leaving_hosts, endpoint->host, 0, event->load.leaving, now_us);
   const struct eng_load *known
-      = g_hash_table_lookup (control->reports, endpoint);
-  ctl_take_leaving (control, &outcome);
+      = g_hash_table_lookup (control->load_reports, endpoint);
+  ctl_apply_leaving_outcome (control, &outcome);
   if (known == NULL || !same_ranges (known, &event->load))
     {
       control->view_outdated = true;
     }
-  g_hash_table_replace (control->reports, endpoint,
+  g_hash_table_replace (control->load_reports, endpoint,
                         g_memdup2 (&event->load, sizeof event->load));
-  ctl_orders_report (control, endpoint, &event->load);
+  ctl_orders_handle_load_report (control, endpoint, &event->load);
   g_free (event);
 }
 
@@ -94,11 +94,11 @@
         {
           continue;
         }
-      struct lv_outcome outcome = lv_list_says (control->leaving, host->name,
-                                                list->version, host->leaving);
-      ctl_take_leaving (control, &outcome);
+      struct lv_outcome outcome = lv_list_says (
+          control->leaving_hosts, host->name, list->version, host->leaving);
+      ctl_apply_leaving_outcome (control, &outcome);
     }
-  ctl_peers_list (control, list);
+  ctl_peers_update_candidates (control, list);
   hl_clear (list);
   g_free (list);
 }
@@ -133,7 +133,7 @@
 poll_if_due (struct ctl_control *control, struct ept_endpoint *endpoint)
 {
   int64_t now_us = clk_monotonic_us ();
-  bool known = g_hash_table_contains (control->reports, endpoint);
+  bool known = g_hash_table_contains (control->load_reports, endpoint);
   bool busy = now_us - endpoint->load.step_at_us < LOAD_POLL_INTERVAL_US;
   int64_t interval_us = LOAD_POLL_INTERVAL_US;
   if (known && !endpoint->load.unreachable)
@@ -223,11 +223,12 @@
   struct ept_endpoint *known = endpoint_of (control, index);
   const struct cfg_link path
       = cfg_path_between (config, own, host->data_centre);
-  const struct eng_load *load = g_hash_table_lookup (control->reports, known);
+  const struct eng_load *load
+      = g_hash_table_lookup (control->load_reports, known);
   *endpoint = (struct snap_endpoint){
     .host = index,
     .takes_work
-    = !host->draining && lv_takes_work (control->leaving, host->name),
+    = !host->draining && lv_takes_work (control->leaving_hosts, host->name),
     .link_delay_us = path.delay_us,
     .link_bytes_per_s = path.bytes_per_s,
     .load = &known->load,
@@ -259,9 +260,10 @@
 
 /* Returns the newest load report of HOST, or NULL before the first.  */
 const struct eng_load *
-ctl_report_of (struct ctl_control *control, uint32_t host)
+ctl_get_load_report (struct ctl_control *control, uint32_t host)
 {
-  return g_hash_table_lookup (control->reports, endpoint_of (control, host));
+  return g_hash_table_lookup (control->load_reports,
+                              endpoint_of (control, host));
 }
 
 /* Returns whether the engine on HOST answers and takes work.  */
@@ -270,18 +272,19 @@
 {
   const struct cfg_host *entry = &control->config->hosts[host];
   return entry->role == CFG_HOST_ENGINE && !entry->draining
-         && lv_takes_work (control->leaving, entry->name)
+         && lv_takes_work (control->leaving_hosts, entry->name)
          && !endpoint_of (control, host)->load.unreachable;
 }
 
 /* Returns whether every engine that answers has reported what it holds, so
    that a placement may be planned on it.  */
 bool
-ctl_reports_complete (struct ctl_control *control)
+ctl_load_reports_complete (struct ctl_control *control)
 {
   for (uint32_t i = 0; i < control->config->host_count; i++)
     {
-      if (ctl_host_usable (control, i) && ctl_report_of (control, i) == NULL)
+      if (ctl_host_usable (control, i)
+          && ctl_get_load_report (control, i) == NULL)
         {
           return false;
         }
@@ -298,10 +301,10 @@
     {
       return;
     }
-  const struct vw_view *view = vw_enter (control->params.views);
+  const struct vw_view *view = vw_read_begin (control->params.views);
   if (view == NULL)
     {
-      vw_leave ();
+      vw_read_end ();
       return;
     }
   uint32_t count = view->snap.endpoint_count;
@@ -311,23 +314,23 @@
       = XXH64 (usable, sizeof *usable * count, control->config->version);
   sum = XXH64 (placement->hosts, sizeof *placement->hosts * count, sum);
   struct pl_bound bound = { .tokens_per_s = control->capacity_tokens_per_s };
-  if (sum != control->capacity_sum)
+  if (sum != control->capacity_inputs_hash)
     {
-      control->capacity_sum = sum;
+      control->capacity_inputs_hash = sum;
       pl_find_bound (control->config, usable, placement, &bound);
     }
   pl_destroy (placement);
   g_free (usable);
-  vw_leave ();
+  vw_read_end ();
   if (bound.tokens_per_s != control->capacity_tokens_per_s
-      || control->config->version != control->gate_version
-      || control->daemons != control->gate_daemons)
+      || control->config->version != control->gate_config_version
+      || control->ready_daemons != control->gate_ready_daemons)
     {
       control->capacity_tokens_per_s = bound.tokens_per_s;
-      control->gate_version = control->config->version;
-      control->gate_daemons = control->daemons;
-      gt_configure (control->params.gate, control->config, control->daemons,
-                    bound.tokens_per_s);
+      control->gate_config_version = control->config->version;
+      control->gate_ready_daemons = control->ready_daemons;
+      gt_configure (control->params.gate, control->config,
+                    control->ready_daemons, bound.tokens_per_s);
     }
 }
 
--- a/src/daemon/control_keyed.c
+++ b/src/daemon/control_keyed.c
@@ -10,7 +10,7 @@
 struct report_event
 {
   struct kc_call *call;
-  struct kc_report report;
+  struct kc_result report;
 };
 
 struct may_send
@@ -49,14 +49,14 @@
     .key = call->key,
     .body_hash = call->body_hash,
   };
-  g_hash_table_insert (control->calls, &call->id, call);
+  g_hash_table_insert (control->keyed_calls, &call->id, call);
   clm_request (control->claims, &claim, clk_monotonic_us (), control->actions);
   ctl_perform_actions (control);
 }
 
 /* Has the claim of CALL sought; the result comes by kc_wait.  */
 void
-ctl_keyed_begin (struct ctl_control *control, struct kc_call *call)
+ctl_keyed_request_claim (struct ctl_control *control, struct kc_call *call)
 {
   ctl_post (control, begin, kc_ref (call));
 }
@@ -72,7 +72,7 @@
 /* Returns whether the claim still allows the first byte to go out, and records
    that it does.  Called directly before sending.  */
 bool
-ctl_keyed_may_send (struct ctl_control *control, struct kc_call *call)
+ctl_keyed_begin_send (struct ctl_control *control, struct kc_call *call)
 {
   struct may_send question = { .call = call };
   ctl_call (control, ask_may_send, &question);
@@ -83,20 +83,20 @@
 take_report (struct ctl_control *control, void *data)
 {
   struct report_event *event = data;
-  const struct kc_report *report = &event->report;
+  const struct kc_result *report = &event->report;
   uint64_t id = event->call->id;
   int64_t now_us = clk_monotonic_us ();
   switch (report->end)
     {
-    case KC_END_OUTCOME:
+    case KC_RESULT_ANSWERED:
       clm_outcome (control->claims, id, report->status, report->body, now_us,
                    control->actions);
       break;
-    case KC_END_NOT_RUN:
+    case KC_RESULT_NOT_RUN:
       clm_not_run (control->claims, id, report->kind, now_us,
                    control->actions);
       break;
-    case KC_END_UNKNOWN:
+    case KC_RESULT_UNKNOWN:
       clm_unknown (control->claims, id, report->kind, now_us,
                    control->actions);
       break;
@@ -112,8 +112,8 @@
 
 /* Tells the claims machine how the dispatched CALL ended.  */
 void
-ctl_keyed_report (struct ctl_control *control, struct kc_call *call,
-                  const struct kc_report *report)
+ctl_keyed_finish (struct ctl_control *control, struct kc_call *call,
+                  const struct kc_result *report)
 {
   struct report_event *event = g_new0 (struct report_event, 1);
   event->call = kc_ref (call);
@@ -129,7 +129,7 @@
 give_up (struct ctl_control *control, void *data)
 {
   struct kc_call *call = data;
-  g_hash_table_remove (control->calls, &call->id);
+  g_hash_table_remove (control->keyed_calls, &call->id);
   clm_caller_gone (control->claims, call->id, clk_monotonic_us (),
                    control->actions);
   ctl_perform_actions (control);
@@ -138,7 +138,7 @@
 
 /* Nobody waits for CALL any more.  */
 void
-ctl_keyed_give_up (struct ctl_control *control, struct kc_call *call)
+ctl_keyed_abandon (struct ctl_control *control, struct kc_call *call)
 {
   ctl_post (control, give_up, kc_ref (call));
 }
@@ -244,7 +244,7 @@
   GBytes *body = settle->body != NULL
                      ? g_bytes_new (settle->body, strlen (settle->body))
                      : NULL;
-  g_hash_table_insert (control->calls, &call->id, kc_ref (call));
+  g_hash_table_insert (control->keyed_calls, &call->id, kc_ref (call));
   clm_settle (control->claims, call->id, settle->account, settle->key,
               settle->ran, settle->ran ? settle->status : 0, body,
               clk_monotonic_us (), control->actions);
@@ -272,7 +272,7 @@
     }
   else
     {
-      ctl_keyed_give_up (control, call);
+      ctl_keyed_abandon (control, call);
     }
   kc_unref (call);
   if (kind != ERR_NONE)
--- a/src/daemon/control_keyed.h
+++ b/src/daemon/control_keyed.h
@@ -7,19 +7,20 @@
 #include "operator/operator.h"
 
 /* How a dispatched call ended. */
-struct kc_report
+struct kc_result
 {
-  enum kc_end end;
-  enum err_kind kind; /* of KC_END_NOT_RUN and KC_END_UNKNOWN */
-  uint32_t status;    /* KC_END_OUTCOME */
-  GBytes *body;       /* KC_END_OUTCOME */
+  enum kc_result_kind end;
+  enum err_kind kind; /* of KC_RESULT_NOT_RUN and KC_RESULT_UNKNOWN */
+  uint32_t status;    /* KC_RESULT_ANSWERED */
+  GBytes *body;       /* KC_RESULT_ANSWERED */
 };
 
-void ctl_keyed_begin (struct ctl_control *control, struct kc_call *call);
-bool ctl_keyed_may_send (struct ctl_control *control, struct kc_call *call);
-void ctl_keyed_report (struct ctl_control *control, struct kc_call *call,
-                       const struct kc_report *report);
-void ctl_keyed_give_up (struct ctl_control *control, struct kc_call *call);
+void ctl_keyed_request_claim (struct ctl_control *control,
+                              struct kc_call *call);
+bool ctl_keyed_begin_send (struct ctl_control *control, struct kc_call *call);
+void ctl_keyed_finish (struct ctl_control *control, struct kc_call *call,
+                       const struct kc_result *report);
+void ctl_keyed_abandon (struct ctl_control *control, struct kc_call *call);
 enum err_ran ctl_keyed_refusal_ran (struct ctl_control *control,
                                     const char *account, const char *key);
 char *ctl_keyed_lookup (struct ctl_control *control, const char *account,
--- a/src/daemon/control_log.c
+++ b/src/daemon/control_log.c
@@ -49,7 +49,7 @@
 take_position (struct ctl_control *control, const struct page_event *event)
 {
   int64_t now_us = event->asked_us;
-  control->log_read_us = now_us;
+  control->last_log_read_us = now_us;
   if (strcmp (event->stream, CST_STREAM) == 0)
     {
       cst_log_position (control->config_state, event->page.first,
@@ -100,8 +100,9 @@
 
 /* Posts a page of STREAM to the control thread; called on a reader thread.  */
 void
-ctl_take_page (const char *stream, enum err_kind result,
-               const struct plog_page *page, int64_t asked_us, void *user_data)
+ctl_handle_log_page (const char *stream, enum err_kind result,
+                     const struct plog_page *page, int64_t asked_us,
+                     void *user_data)
 {
   struct page_event *event = g_new0 (struct page_event, 1);
   event->stream = g_strdup (stream);
@@ -205,7 +206,7 @@
       take_config_append (control, event);
       break;
     case ACT_OWNER_BURN:
-      ctl_burn_append (control, event->token, event->result);
+      ctl_burn_handle_append_result (control, event->token, event->result);
       break;
     case ACT_OWNER_LEASE:
       take_lease_append (control, event);
@@ -218,8 +219,9 @@
 /* Posts the result of an append to the control thread; called on an appender
    thread.  */
 void
-ctl_take_append (enum act_owner owner, uint64_t token, enum err_kind result,
-                 uint64_t offset, bool log_out, void *user_data)
+ctl_handle_append_result (enum act_owner owner, uint64_t token,
+                          enum err_kind result, uint64_t offset, bool log_out,
+                          void *user_data)
 {
   struct append_event *event = g_new0 (struct append_event, 1);
   *event = (struct append_event){
--- a/src/daemon/control_orders.c
+++ b/src/daemon/control_orders.c
@@ -229,9 +229,9 @@
 
 /* Tells the orders machine what an engine reports.  */
 void
-ctl_orders_report (struct ctl_control *control,
-                   const struct ept_endpoint *endpoint,
-                   const struct eng_load *load)
+ctl_orders_handle_load_report (struct ctl_control *control,
+                               const struct ept_endpoint *endpoint,
+                               const struct eng_load *load)
 {
   const struct cfg_config *config = control->config;
   struct ord_held held[2 * SNAP_RANGES_MAX];
@@ -270,7 +270,7 @@
   for (uint32_t i = 0; i < config->host_count; i++)
     {
       struct ord_held held[2 * SNAP_RANGES_MAX];
-      const struct eng_load *load = ctl_report_of (control, i);
+      const struct eng_load *load = ctl_get_load_report (control, i);
       uint32_t count = load != NULL ? list_held (config, i, load, held) : 0;
       struct pl_host *host = &current->hosts[i];
       for (uint32_t j = 0; j < count && j < SNAP_RANGES_MAX; j++)
@@ -316,7 +316,7 @@
   struct ctl_orders *state = control->orders;
   if (state->planning || now_us < state->next_check_us
       || control->config->rules.placement != CFG_PLACEMENT_AUTOMATIC
-      || !ctl_reports_complete (control))
+      || !ctl_load_reports_complete (control))
     {
       return;
     }
--- a/src/daemon/control_peers.c
+++ b/src/daemon/control_peers.c
@@ -81,7 +81,7 @@
 {
   uint32_t alive = MAX (mem_alive_count (control->members), 1);
   uint32_t rank = ctl_own_rank (control);
-  control->daemons = MAX (mem_ready_count (control->members), 1);
+  control->ready_daemons = MAX (mem_ready_count (control->members), 1);
   clm_set_share (control->claims, alive, rank);
   cst_set_daemons (control->config_state, alive, rank);
 }
@@ -107,15 +107,15 @@
 
 /* Puts the outcome of a sign in force here and tells it to the peers.  */
 void
-ctl_take_leaving (struct ctl_control *control,
-                  const struct lv_outcome *outcome)
+ctl_apply_leaving_outcome (struct ctl_control *control,
+                           const struct lv_outcome *outcome)
 {
   if (outcome->changed)
     {
       control->view_outdated = true;
       lg_line (LOG_NOTICE, "endpoint", "host=%s takes_work=%d",
                outcome->mark.host,
-               lv_takes_work (control->leaving, outcome->mark.host));
+               lv_takes_work (control->leaving_hosts, outcome->mark.host));
     }
   if (outcome->tell)
     {
@@ -127,8 +127,8 @@
 take_mark (struct ctl_control *control, const struct lv_mark *mark)
 {
   struct lv_outcome outcome
-      = lv_peer_says (control->leaving, mark, clk_monotonic_us ());
-  ctl_take_leaving (control, &outcome);
+      = lv_peer_says (control->leaving_hosts, mark, clk_monotonic_us ());
+  ctl_apply_leaving_outcome (control, &outcome);
 }
 
 static void
@@ -222,9 +222,9 @@
     .seed = g_random_int (),
   };
   control->members = mem_create (&members, clk_monotonic_us ());
-  control->candidates = g_strdupv (settings->seeds);
+  control->peer_candidates = g_strdupv (settings->seeds);
   mem_set_candidates (control->members,
-                      (const char *const *)control->candidates);
+                      (const char *const *)control->peer_candidates);
   return true;
 }
 
@@ -234,12 +234,13 @@
 {
   mem_destroy (control->members);
   peer_hub_destroy (control->hub);
-  g_strfreev (control->candidates);
+  g_strfreev (control->peer_candidates);
 }
 
 /* Takes the daemons of the host list as further candidates.  */
 void
-ctl_peers_list (struct ctl_control *control, const struct hl_list *list)
+ctl_peers_update_candidates (struct ctl_control *control,
+                             const struct hl_list *list)
 {
   GPtrArray *addresses = g_ptr_array_new ();
   char **seeds = control->params.settings->seeds;
@@ -255,10 +256,10 @@
         }
     }
   g_ptr_array_add (addresses, NULL);
-  g_strfreev (control->candidates);
-  control->candidates = (char **)g_ptr_array_free (addresses, FALSE);
+  g_strfreev (control->peer_candidates);
+  control->peer_candidates = (char **)g_ptr_array_free (addresses, FALSE);
   mem_set_candidates (control->members,
-                      (const char *const *)control->candidates);
+                      (const char *const *)control->peer_candidates);
 }
 
 /* Tells the peers this daemon's state and does what is due.  */
@@ -266,10 +267,10 @@
 ctl_peers_tick (struct ctl_control *control)
 {
   int64_t now_us = clk_monotonic_us ();
-  bool reaches_log = now_us - control->log_read_us < LOG_REACH_US;
-  if (control->stopping && !control->told_leaving)
+  bool reaches_log = now_us - control->last_log_read_us < LOG_REACH_US;
+  if (control->stopping && !control->leave_announced)
     {
-      control->told_leaving = true;
+      control->leave_announced = true;
       mem_leave (control->members, now_us);
     }
   mem_set_ready (control->members, ctl_ready (control), now_us);
@@ -282,7 +283,7 @@
                        now_us);
   mem_tick (control->members, now_us);
   perform_member_actions (control);
-  if (control->daemons != MAX (mem_ready_count (control->members), 1))
+  if (control->ready_daemons != MAX (mem_ready_count (control->members), 1))
     {
       count_daemons (control);
     }
--- a/src/daemon/control_peers.h
+++ b/src/daemon/control_peers.h
@@ -9,8 +9,9 @@
 void ctl_peers_stop (struct ctl_control *control);
 uint32_t ctl_own_rank (const struct ctl_control *control);
 void ctl_peers_tick (struct ctl_control *control);
-void ctl_peers_list (struct ctl_control *control, const struct hl_list *list);
-void ctl_take_leaving (struct ctl_control *control,
-                       const struct lv_outcome *outcome);
+void ctl_peers_update_candidates (struct ctl_control *control,
+                                  const struct hl_list *list);
+void ctl_apply_leaving_outcome (struct ctl_control *control,
+                                const struct lv_outcome *outcome);
 
 #endif
--- a/src/daemon/control_private.h
+++ b/src/daemon/control_private.h
@@ -1,4 +1,6 @@
-/* State of the control thread, shared by the control_*.c files only. */
+/* State of the control thread.  Included by the control_*.c files and by
+   operator_backend.c, which reads it on the control thread; other files use
+   control.h, control_burn.h, control_config.h and control_keyed.h. */
 #ifndef DAEMON_CONTROL_PRIVATE_H
 #define DAEMON_CONTROL_PRIVATE_H
 
@@ -14,44 +16,50 @@
 
 struct ctl_orders;
 
+/* The fields are used by the control thread only, except for those that are
+   constant after ctl_create and the atomic ones at the end. */
 struct ctl_control
 {
   struct ctl_params params;
-  uint64_t incarnation;
+  uint64_t incarnation; /* see new_incarnation */
   GMainContext *context;
   GMainLoop *loop;
   pthread_t thread;
   struct lio_io *log_io;
   struct pol_poller *poller;
   struct ept_table *endpoints;
-  GHashTable *reports; /* struct ept_endpoint to struct eng_load, the newest */
-  struct lv_hosts *leaving;
+  /* struct ept_endpoint to struct eng_load, the newest load report */
+  GHashTable *load_reports;
+  struct lv_hosts *leaving_hosts;
   struct clm *claims;
-  GHashTable *calls; /* id to struct kc_call, waiting or dispatched */
-  struct act_list *actions;
+  GHashTable *keyed_calls;   /* id to struct kc_call that isn't answered yet */
+  struct act_list *actions;  /* requested by the state machines, not done */
   struct cfg_config *config; /* in force; NULL before the first */
   char *config_yaml;         /* text of the configuration in force */
-  GHashTable *publishes;     /* id to a publisher that waits */
+  GHashTable *pending_publications; /* id to struct publish_wait */
   struct cst *config_state;
   struct brn_state *burn;
-  uint64_t burn_offset; /* of the stream, read so far */
+  uint64_t next_burn_offset; /* first offset of the burn stream not yet read */
   struct peer_hub *hub;
   struct mem_fleet *members;
-  char **candidates;   /* addresses of possible peers, NULL-terminated */
-  int64_t log_read_us; /* last page of the log that was read */
-  bool told_leaving;
+  char **peer_candidates;   /* addresses of possible peers, NULL-terminated */
+  int64_t last_log_read_us; /* send time of the last read that succeeded */
+  bool leave_announced;     /* to the peers */
   struct ctl_orders *orders;
-  bool view_outdated;
-  int64_t next_fleet_us;        /* of polls and peers */
-  int64_t next_slow_us;         /* of capacity, orders and burn */
-  uint32_t daemons;             /* ready ones, this one included; at least 1 */
-  uint64_t capacity_sum;        /* of what the capacity was found from */
-  double capacity_tokens_per_s; /* what the gate was told */
-  uint64_t gate_version;
-  uint32_t gate_daemons;
-  _Atomic uint64_t last_id; /* of calls, in this daemon */
-  _Atomic bool has_config;
-  _Atomic bool may_serve; /* by the configuration's freshness */
+  bool view_outdated;         /* a new view has to be published */
+  int64_t next_fleet_tick_us; /* see FLEET_INTERVAL_US */
+  int64_t next_slow_tick_us;  /* see SLOW_INTERVAL_US */
+  uint32_t ready_daemons;     /* this one included; at least 1 */
+  /* Of the usable hosts, their ranges and the configuration's version, from
+     which the capacity was computed. */
+  uint64_t capacity_inputs_hash;
+  /* The values that the gate was last configured with. */
+  double capacity_tokens_per_s;
+  uint64_t gate_config_version;
+  uint32_t gate_ready_daemons;
+  _Atomic uint64_t last_id;     /* last result of ctl_new_id */
+  _Atomic bool has_config;      /* a view has been published */
+  _Atomic bool serving_allowed; /* the configuration is recent enough */
   _Atomic bool stopping;
 };
 
@@ -67,16 +75,16 @@
 void ctl_update_capacity (struct ctl_control *control);
 uint32_t ctl_find_model (const struct cfg_config *config, const char *name);
 bool ctl_host_usable (struct ctl_control *control, uint32_t host);
-const struct eng_load *ctl_report_of (struct ctl_control *control,
-                                      uint32_t host);
-bool ctl_reports_complete (struct ctl_control *control);
+const struct eng_load *ctl_get_load_report (struct ctl_control *control,
+                                            uint32_t host);
+bool ctl_load_reports_complete (struct ctl_control *control);
 void ctl_publish_view (struct ctl_control *control);
 
-void ctl_take_page (const char *stream, enum err_kind result,
-                    const struct plog_page *page, int64_t asked_us,
-                    void *user_data);
-void ctl_take_append (enum act_owner owner, uint64_t token,
-                      enum err_kind result, uint64_t offset, bool log_out,
-                      void *user_data);
+void ctl_handle_log_page (const char *stream, enum err_kind result,
+                          const struct plog_page *page, int64_t asked_us,
+                          void *user_data);
+void ctl_handle_append_result (enum act_owner owner, uint64_t token,
+                               enum err_kind result, uint64_t offset,
+                               bool log_out, void *user_data);
 
 #endif
--- a/src/daemon/draft.c
+++ b/src/daemon/draft.c
@@ -32,10 +32,10 @@
 feed (struct run *run, struct req_event *event, struct req_action *action)
 {
   event->now_us = clk_monotonic_us ();
-  const struct vw_view *view = vw_enter (run->env->views);
-  event->model = vw_find (view->model_by_name, run->draft->model);
+  const struct vw_view *view = vw_read_begin (run->env->views);
+  event->model = vw_find_index (view->model_by_name, run->draft->model);
   req_feed (run->machine, event, &view->snap, action);
-  vw_leave ();
+  vw_read_end ();
 }
 
 static uint32_t
--- a/src/daemon/gate.c
+++ b/src/daemon/gate.c
@@ -93,7 +93,7 @@
 
 /* Admits from the queue what time allows; called now and then.  */
 void
-gt_pump (struct gt_gate *gate)
+gt_process_queue (struct gt_gate *gate)
 {
   pthread_mutex_lock (&gate->lock);
   pump_locked (gate);
@@ -120,11 +120,11 @@
   return waiter.decision;
 }
 
-/* Admits REQUEST, waiting in the queue where that is of use.  True: gt_leave
+/* Admits REQUEST, waiting in the queue where that is of use.  True: gt_finish
    must follow.  FAILURE: ERR_OVERLOADED, ERR_RATE_LIMITED,
    ERR_DEADLINE_UNMEETABLE, ERR_NO_CAPACITY; nothing has run.  */
 bool
-gt_enter (struct gt_gate *gate, const struct adm_request *request,
+gt_admit (struct gt_gate *gate, const struct adm_request *request,
           struct adm_verdict *verdict, struct err_failure *failure)
 {
   enum adm_decision decision = ADM_REFUSED;
@@ -157,7 +157,7 @@
 
 /* Request ID has ended after TOKENS tokens.  */
 void
-gt_leave (struct gt_gate *gate, uint64_t id, uint32_t tokens)
+gt_finish (struct gt_gate *gate, uint64_t id, uint32_t tokens)
 {
   pthread_mutex_lock (&gate->lock);
   gate->inside--;
@@ -168,7 +168,7 @@
 
 /* A stream has waited so long between two tokens.  */
 void
-gt_observe_step (struct gt_gate *gate, int64_t between_tokens_us)
+gt_observe_token_interval (struct gt_gate *gate, int64_t between_tokens_us)
 {
   pthread_mutex_lock (&gate->lock);
   adm_observe_step (gate->admission, between_tokens_us);
--- a/src/daemon/keyed.h
+++ b/src/daemon/keyed.h
@@ -30,11 +30,11 @@
 };
 
 /* How a dispatched call ended. */
-enum kc_end
+enum kc_result_kind
 {
-  KC_END_OUTCOME,
-  KC_END_NOT_RUN,
-  KC_END_UNKNOWN
+  KC_RESULT_ANSWERED,
+  KC_RESULT_NOT_RUN,
+  KC_RESULT_UNKNOWN
 };
 
 struct kc_call *kc_create (uint64_t id, const char *account, const char *key,
--- a/src/daemon/operator_backend.c
+++ b/src/daemon/operator_backend.c
@@ -18,7 +18,7 @@
   struct ept_endpoint *endpoint
       = ept_get (control->endpoints, host->name, host->address);
   const struct eng_load *load
-      = g_hash_table_lookup (control->reports, endpoint);
+      = g_hash_table_lookup (control->load_reports, endpoint);
   json_t *ranges = json_array ();
   for (uint32_t i = 0; load != NULL && i < load->range_count; i++)
     {
@@ -28,7 +28,7 @@
                              (int)range->first, "end", (int)range->end));
     }
   bool takes_work
-      = !host->draining && lv_takes_work (control->leaving, host->name);
+      = !host->draining && lv_takes_work (control->leaving_hosts, host->name);
   return json_pack ("{s:s, s:s, s:b, s:b, s:i, s:i, s:i, s:I, s:o}", "host",
                     host->name, "address", host->address, "takes_work",
                     takes_work, "reported", load != NULL, "streams",
--- a/src/daemon/service_call.c
+++ b/src/daemon/service_call.c
@@ -77,13 +77,13 @@
                const struct tried *tried)
 {
   struct ept_endpoint *endpoint = NULL;
-  const struct vw_view *view = vw_enter (env->views);
-  uint32_t service = vw_find (view->service_by_name, service_name);
+  const struct vw_view *view = vw_read_begin (env->views);
+  uint32_t service = vw_find_index (view->service_by_name, service_name);
   if (service != CFG_NO_INDEX)
     {
       endpoint = choose_endpoint (&view->snap, service, tried, env->call_id);
     }
-  vw_leave ();
+  vw_read_end ();
   return endpoint;
 }
 
@@ -92,8 +92,8 @@
 classify (const struct sc_env *env, const struct cal_service_call *call,
           bool *known, bool *idempotent)
 {
-  const struct vw_view *view = vw_enter (env->views);
-  uint32_t index = vw_find (view->service_by_name, call->service);
+  const struct vw_view *view = vw_read_begin (env->views);
+  uint32_t index = vw_find_index (view->service_by_name, call->service);
   *known = index != CFG_NO_INDEX;
   *idempotent = false;
   if (*known)
@@ -106,7 +106,7 @@
                          && g_str_has_prefix (call->path, entry->path_prefix);
         }
     }
-  vw_leave ();
+  vw_read_end ();
 }
 
 /* Sends CALL to ENDPOINT once and keeps its counters.  */
@@ -236,24 +236,26 @@
               const struct cal_service_call *call)
 {
   const struct tried none = { .count = 0 };
-  struct kc_report report = { .end = KC_END_NOT_RUN, .kind = ERR_NO_CAPACITY };
+  struct kc_result report
+      = { .end = KC_RESULT_NOT_RUN, .kind = ERR_NO_CAPACITY };
   struct ept_endpoint *endpoint = find_endpoint (env, call->service, &none);
   struct con_answer got = { .body = NULL };
   kc_rearm (claim);
-  if (endpoint != NULL && ctl_keyed_may_send (env->control, claim))
+  if (endpoint != NULL && ctl_keyed_begin_send (env->control, claim))
     {
       enum svc_result result
           = send_once (endpoint, terms, call, SERVICE_TIMEOUT_US, &got);
       report.kind = ERR_ENDPOINT_FAILED;
-      report.end = result == SVC_NOT_RUN ? KC_END_NOT_RUN : KC_END_UNKNOWN;
+      report.end
+          = result == SVC_NOT_RUN ? KC_RESULT_NOT_RUN : KC_RESULT_UNKNOWN;
       if (result == SVC_ANSWERED)
         {
-          report.end = KC_END_OUTCOME;
+          report.end = KC_RESULT_ANSWERED;
           report.status = got.status;
           report.body = g_bytes_new (got.body->str, got.body->len);
         }
     }
-  ctl_keyed_report (env->control, claim, &report);
+  ctl_keyed_finish (env->control, claim, &report);
   if (report.body != NULL)
     {
       g_bytes_unref (report.body);
@@ -274,7 +276,7 @@
   /* A claim may be settled by an operator once it is older than any call. */
   int64_t until_us
       = MIN (terms->deadline_us, clk_monotonic_us () + KEYED_DEADLINE_US);
-  ctl_keyed_begin (env->control, claim);
+  ctl_keyed_request_claim (env->control, claim);
   enum kc_state state = kc_wait (claim, until_us);
   if (state == KC_DISPATCHED)
     {
@@ -288,7 +290,7 @@
     }
   else
     {
-      ctl_keyed_give_up (env->control, claim);
+      ctl_keyed_abandon (env->control, claim);
       err_fail (failure, ERR_DEADLINE_EXCEEDED, NULL);
     }
   kc_unref (claim);
@@ -327,8 +329,8 @@
    ERR_NOT_FOUND, with `ran' as far as this daemon's reading of the log can
    tell: a key that it does not know may have run elsewhere.  */
 bool
-sc_lookup (struct ctl_control *control, const struct cal_account *account,
-           const char *key, char **outcome, struct err_failure *failure)
+sc_lookup_key (struct ctl_control *control, const struct cal_account *account,
+               const char *key, char **outcome, struct err_failure *failure)
 {
   *outcome = ctl_keyed_lookup (control, account->name, key);
   if (*outcome == NULL)
--- a/src/daemon/service_call.h
+++ b/src/daemon/service_call.h
@@ -16,7 +16,8 @@
              const struct cal_terms *terms,
              const struct cal_service_call *call,
              struct cal_service_answer *answer, struct err_failure *failure);
-bool sc_lookup (struct ctl_control *control, const struct cal_account *account,
-                const char *key, char **outcome, struct err_failure *failure);
+bool sc_lookup_key (struct ctl_control *control,
+                    const struct cal_account *account, const char *key,
+                    char **outcome, struct err_failure *failure);
 
 #endif
--- a/src/daemon/view.c
+++ b/src/daemon/view.c
@@ -114,24 +114,24 @@
 }
 
 /* Returns the view in force, or NULL before the first.  It stays valid until
-   vw_leave, which must follow soon and in every case.  */
+   vw_read_end, which must follow soon and in every case.  */
 const struct vw_view *
-vw_enter (struct vw_store *store)
+vw_read_begin (struct vw_store *store)
 {
   rcu_read_lock ();
   return rcu_dereference (store->current);
 }
 
-/* Ends the reading that vw_enter began.  */
+/* Ends the reading that vw_read_begin began.  */
 void
-vw_leave (void)
+vw_read_end (void)
 {
   rcu_read_unlock ();
 }
 
 /* Returns the index that TABLE of a view has for NAME, or CFG_NO_INDEX.  */
 uint32_t
-vw_find (GHashTable *table, const char *name)
+vw_find_index (GHashTable *table, const char *name)
 {
   guint stored = GPOINTER_TO_UINT (g_hash_table_lookup (table, name));
   return stored == 0 ? CFG_NO_INDEX : stored - 1;
--- a/src/daemon/view.h
+++ b/src/daemon/view.h
@@ -26,8 +26,8 @@
 void vw_publish (struct vw_store *store, struct vw_view *view);
 void vw_thread_register (void);
 void vw_thread_unregister (void);
-const struct vw_view *vw_enter (struct vw_store *store);
-void vw_leave (void);
-uint32_t vw_find (GHashTable *table, const char *name);
+const struct vw_view *vw_read_begin (struct vw_store *store);
+void vw_read_end (void);
+uint32_t vw_find_index (GHashTable *table, const char *name);
 
 #endif
--- a/test/service_call_test.c
+++ b/test/service_call_test.c
@@ -68,7 +68,7 @@
   struct err_failure failure = { .kind = ERR_NONE };
   char *outcome = NULL;
   assert_false (
-      sc_lookup (parts->control, &account, "visit-1", &outcome, &failure));
+      sc_lookup_key (parts->control, &account, "visit-1", &outcome, &failure));
   assert_null (outcome);
   assert_int_equal (failure.kind, ERR_NOT_FOUND);
   assert_int_equal (failure.ran, ERR_RAN_UNKNOWN);
