--- a/src/daemon/backend.c
+++ b/src/daemon/backend.c
@@ -42,10 +42,13 @@
   return kind == ERR_NONE;
 }
 
-/* Checks DRAFT against the rules in force and fills OUT.  */
+/* Checks DRAFT against the rules of the configuration in force, and fills the
+   model, prompt and max_tokens of OUT, with max_tokens limited by the rules.
+   FAILURE: ERR_NOT_FOUND for an unknown model, ERR_TOO_LARGE for the prompt.
+   */
 static bool
-accept_draft (struct bk_backend *backend, const struct cal_draft *draft,
-              struct dft_draft *out, struct err_failure *failure)
+check_draft (struct bk_backend *backend, const struct cal_draft *draft,
+             struct dft_draft *out, struct err_failure *failure)
 {
   const struct vw_view *view = vw_read_begin (backend->views);
   const struct cfg_rules rules = view->snap.config->rules;
@@ -54,12 +57,13 @@
   vw_read_end ();
   if (!known)
     {
-      err_fail (failure, ERR_NOT_FOUND, "model: no such model");
+      err_fail (failure, ERR_NOT_FOUND, "model: not in the configuration");
       return false;
     }
   if (strlen (draft->prompt) > rules.prompt_bytes)
     {
-      err_fail (failure, ERR_TOO_LARGE, "the prompt is too long");
+      err_fail (failure, ERR_TOO_LARGE,
+                "prompt: longer than the configured limit");
       return false;
     }
   out->model = draft->model;
@@ -72,46 +76,48 @@
   return true;
 }
 
-/* A caller's token callback, with the time of the token before. */
-struct token_relay
+/* Passes tokens on to the caller's callback and measures the time between
+   them. */
+struct token_forwarder
 {
   struct gt_gate *gate;
   struct met_metrics *metrics;
   cal_on_token on_token;
   void *token_data;
-  int64_t first_us; /* 0: no token yet */
-  int64_t last_us;
+  int64_t first_us; /* monotonic time of the first token; 0: none yet */
+  int64_t last_us;  /* monotonic time of the last token; 0: none yet */
 };
 
 static bool
-relay_token (const char *text, int64_t now_us, void *user_data)
+forward_token (const char *text, int64_t now_us, void *user_data)
 {
-  struct token_relay *relay = user_data;
-  if (relay->last_us != 0)
+  struct token_forwarder *forwarder = user_data;
+  if (forwarder->last_us != 0)
     {
-      gt_observe_token_interval (relay->gate, now_us - relay->last_us);
+      gt_observe_token_interval (forwarder->gate, now_us - forwarder->last_us);
     }
   else
     {
-      relay->first_us = now_us;
+      forwarder->first_us = now_us;
     }
-  relay->last_us = now_us;
-  cnt_add (relay->metrics->tokens, 1);
-  return relay->on_token (text, now_us, relay->token_data);
+  forwarder->last_us = now_us;
+  cnt_add (forwarder->metrics->tokens, 1);
+  return forwarder->on_token (text, now_us, forwarder->token_data);
 }
 
+/* Passes EVENT of ACCOUNT to the service-level report.  */
 static void
-count (struct bk_backend *backend, const struct cal_account *account,
-       struct brn_event *event)
+record_event (struct bk_backend *backend, const struct cal_account *account,
+              struct brn_event *event)
 {
   g_strlcpy (event->account, account->name, sizeof event->account);
   ctl_burn_observe (backend->control, event);
 }
 
-/* Counts a request that was refused at the gate.  */
+/* Records a request that the admission gate refused with KIND.  */
 static void
-count_refusal (struct bk_backend *backend, const struct cal_account *account,
-               enum brn_work work, enum err_kind kind)
+record_refusal (struct bk_backend *backend, const struct cal_account *account,
+                enum brn_work work, enum err_kind kind)
 {
   struct brn_event event = {
     .work = work,
@@ -120,30 +126,31 @@
     .between_tokens_us = -1,
     .settled_us = -1,
   };
-  count (backend, account, &event);
+  record_event (backend, account, &event);
 }
 
 static void
-count_draft (struct bk_backend *backend, const struct cal_account *account,
-             const struct dft_run_result *run, const struct token_relay *relay,
-             int64_t began_us)
+record_draft (struct bk_backend *backend, const struct cal_account *account,
+              const struct dft_run_result *run,
+              const struct token_forwarder *forwarder, int64_t start_us)
 {
   struct brn_event event = {
     .work = BRN_DRAFT,
     .error = run->error,
-    .first_token_us = run->tokens > 0 ? relay->first_us - began_us : -1,
+    .first_token_us = run->tokens > 0 ? forwarder->first_us - start_us : -1,
     .between_tokens_us = -1,
     .settled_us = -1,
   };
   if (run->tokens > 1)
     {
       event.between_tokens_us
-          = (relay->last_us - relay->first_us) / (run->tokens - 1);
+          = (forwarder->last_us - forwarder->first_us) / (run->tokens - 1);
     }
   g_strlcpy (event.endpoint, run->failed_host, sizeof event.endpoint);
-  count (backend, account, &event);
+  record_event (backend, account, &event);
 }
 
+/* Logs a draft that failed or took more than one attempt.  */
 static void
 log_draft (const struct dft_run_result *run, const struct cal_account *account,
            const struct cal_terms *terms)
@@ -178,14 +185,14 @@
     .views = backend->views,
     .canceller = backend->canceller,
   };
-  int64_t began_us = clk_monotonic_us ();
-  struct token_relay relay = {
+  int64_t start_us = clk_monotonic_us ();
+  struct token_forwarder forwarder = {
     .gate = backend->gate,
     .metrics = backend->metrics,
     .on_token = on_token,
     .token_data = token_data,
   };
-  if (!accept_draft (backend, draft, &accepted, failure))
+  if (!check_draft (backend, draft, &accepted, failure))
     {
       return false;
     }
@@ -198,16 +205,17 @@
   };
   if (!gt_admit (backend->gate, &request, &verdict, failure))
     {
-      count_refusal (backend, account, BRN_DRAFT, failure->kind);
+      record_refusal (backend, account, BRN_DRAFT, failure->kind);
       return false;
     }
   accepted.priority = verdict.step_priority;
-  dft_run (&env, &accepted, relay_token, &relay, &run);
+  dft_run (&env, &accepted, forward_token, &forwarder, &run);
   gt_finish (backend->gate, request.id, run.tokens);
   cnt_add (backend->metrics->attempts, run.attempts);
   log_draft (&run, account, terms);
-  count_draft (backend, account, &run, &relay, began_us);
+  record_draft (backend, account, &run, &forwarder, start_us);
   *result = (struct cal_draft_result){
+    /* An estimate, with BYTES_PER_POSITION of draft.c. */
     .prompt_tokens = (uint32_t)(strlen (draft->prompt) / 4),
     .tokens = run.tokens,
     .ended = run.ended,
@@ -242,10 +250,10 @@
     .deadline_us = terms->deadline_us,
   };
   enum brn_work work = call->key != NULL ? BRN_KEYED : BRN_LOOKUP;
-  int64_t began_us = clk_monotonic_us ();
+  int64_t start_us = clk_monotonic_us ();
   if (!gt_admit (backend->gate, &request, &verdict, failure))
     {
-      count_refusal (backend, account, work, failure->kind);
+      record_refusal (backend, account, work, failure->kind);
       if (call->key != NULL)
         {
           failure->ran = ctl_keyed_refusal_ran (backend->control,
@@ -260,9 +268,9 @@
     .error = answered ? ERR_NONE : failure->kind,
     .first_token_us = -1,
     .between_tokens_us = -1,
-    .settled_us = answered ? clk_monotonic_us () - began_us : -1,
+    .settled_us = answered ? clk_monotonic_us () - start_us : -1,
   };
-  count (backend, account, &event);
+  record_event (backend, account, &event);
   return answered;
 }
 
--- a/src/daemon/backend.h
+++ b/src/daemon/backend.h
@@ -1,4 +1,6 @@
-/* What the daemon gives to the packages that talk to callers and operators. */
+/* Connects the HTTP server for callers to the daemon: implements its table of
+   callbacks, struct cal_backend, on top of the admission gate, the routing
+   view and the control thread. */
 #ifndef DAEMON_BACKEND_H
 #define DAEMON_BACKEND_H
 
@@ -7,6 +9,8 @@
 #include "daemon/gate.h"
 #include "endpoint/canceller.h"
 
+/* The user data of bk_caller_backend.  All parts belong to the daemon and
+   outlive the server. */
 struct bk_backend
 {
   struct ctl_control *control;
