--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -9,8 +9,10 @@
 
 #include <curl/curl.h>
 
-#define BODY_BYTES_MAX (1024 * 1024)
-#define DEADLINE_US (60 * CLK_S_US)
+#define CALLER_BODY_BYTES_MAX (1024 * 1024)
+
+/* For requests that carry no deadline. */
+#define DEFAULT_DEADLINE_US (60 * CLK_S_US)
 
 struct dmn_daemon
 {
@@ -25,6 +27,8 @@
   struct opr_server *operators;
 };
 
+/* Starts the HTTP servers for callers and operators.  Errors: ERR_SETTINGS
+   when an address cannot be listened on.  */
 static bool
 start_servers (struct dmn_daemon *daemon, const struct set_settings *settings,
                GError **error)
@@ -33,8 +37,8 @@
     .address = settings->caller_address,
     .threads = settings->traffic_threads,
     .timeout_ms = settings->caller_timeout_ms,
-    .body_bytes_max = BODY_BYTES_MAX,
-    .default_deadline_us = DEADLINE_US,
+    .body_bytes_max = CALLER_BODY_BYTES_MAX,
+    .default_deadline_us = DEFAULT_DEADLINE_US,
     .counters = daemon->counters,
     .backend = &bk_caller_backend,
     .user_data = &daemon->backend,
@@ -55,8 +59,9 @@
   return daemon->operators != NULL;
 }
 
-/* Starts every part of the daemon.  SETTINGS outlives it.  Errors:
-   ERR_SETTINGS when an address cannot be listened on.  */
+/* Creates the daemon and starts its threads and servers.  SETTINGS must
+   outlive the daemon.  Returns NULL on errors: ERR_SETTINGS when an address
+   cannot be listened on.  */
 struct dmn_daemon *
 dmn_create (const struct set_settings *settings, GError **error)
 {
@@ -92,7 +97,7 @@
   return daemon;
 }
 
-/* Stops every part and frees DAEMON.  */
+/* Stops the servers and threads and frees DAEMON, which may be NULL.  */
 void
 dmn_destroy (struct dmn_daemon *daemon)
 {
@@ -111,29 +116,29 @@
   g_free (daemon);
 }
 
-/* Returns the port that callers use.  */
+/* Returns the TCP port of the server for callers.  */
 uint16_t
 dmn_caller_port (const struct dmn_daemon *daemon)
 {
   return cal_server_port (daemon->callers);
 }
 
-/* Returns the port that operators use.  */
+/* Returns the TCP port of the server for operators.  */
 uint16_t
 dmn_operator_port (const struct dmn_daemon *daemon)
 {
   return opr_server_port (daemon->operators);
 }
 
-/* Makes the daemon unready, so that the balancer sends no further requests;
-   those that still arrive are served.  */
+/* Makes the daemon report that it isn't ready, so that the load balancer stops
+   sending requests.  Requests that still arrive are served.  */
 void
 dmn_begin_stop (struct dmn_daemon *daemon)
 {
   ctl_begin_stop (daemon->control);
 }
 
-/* Returns the number of requests under way.  */
+/* Returns the number of callers' requests that are in progress.  */
 int64_t
 dmn_under_way (const struct dmn_daemon *daemon)
 {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,5 @@
-/* The daemon: every part of one process, wired together. */
+/* One daemon process: creates the control thread, the admission gate and the
+   HTTP servers for callers and operators, and connects them. */
 #ifndef DAEMON_DAEMON_H
 #define DAEMON_DAEMON_H
 
