--- a/src/daemon/gate.h
+++ b/src/daemon/gate.h
@@ -1,5 +1,6 @@
-/* The gate before traffic: the admission machine behind one lock, and the
-   threads that wait in its queue. */
+/* The admission gate: makes the admission state machine (core/admission.h)
+   thread-safe, and blocks the traffic threads whose requests are queued.  All
+   functions but gt_create and gt_destroy are thread-safe. */
 #ifndef DAEMON_GATE_H
 #define DAEMON_GATE_H
 
