--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -10,28 +10,37 @@
 #include <stdatomic.h>
 
 #define TICK_MS 20
+
+/* Between load polls and membership ticks. */
 #define FLEET_INTERVAL_US (100 * CLK_MS_US)
+
+/* Between updates of the capacity, orders, service-level counts and gauges. */
 #define SLOW_INTERVAL_US (200 * CLK_MS_US)
+
+/* How long an idempotency key stays known after its outcome: 24 hours. */
+#define KEY_LIFETIME_US (INT64_C (86400) * CLK_S_US)
+
 #define INCARNATION_RANDOM_BITS 10
 
-struct posted
+/* A task that was posted to the control thread. */
+struct posted_task
 {
   struct ctl_control *control;
   ctl_task task;
   void *data;
 };
 
-/* A task whose poster waits. */
-struct waited
+/* A task whose completion the posting thread waits for. */
+struct sync_task
 {
   ctl_task task;
   void *data;
   pthread_mutex_t lock;
-  pthread_cond_t done_changed;
+  pthread_cond_t done_cond;
   bool done;
 };
 
-/* Returns an identifier that is unique in this daemon.  Thread-safe.  */
+/* Returns a request identifier that is unique in this daemon.  Thread-safe. */
 uint64_t
 ctl_new_id (struct ctl_control *control)
 {
@@ -39,62 +48,65 @@
 }
 
 static gboolean
-run_posted (gpointer data)
+run_posted_task (gpointer data)
 {
-  struct posted *posted = data;
+  struct posted_task *posted = data;
   posted->task (posted->control, posted->data);
   return G_SOURCE_REMOVE;
 }
 
-/* Has TASK run on the control thread with DATA.  Thread-safe.  */
+/* Queues TASK to run on the control thread with DATA, and returns at once.
+   Thread-safe.  */
 void
 ctl_post (struct ctl_control *control, ctl_task task, void *data)
 {
-  struct posted *posted = g_new0 (struct posted, 1);
-  *posted = (struct posted){
+  struct posted_task *posted = g_new0 (struct posted_task, 1);
+  *posted = (struct posted_task){
     .control = control,
     .task = task,
     .data = data,
   };
   GSource *source = g_idle_source_new ();
   g_source_set_priority (source, G_PRIORITY_DEFAULT);
-  g_source_set_callback (source, run_posted, posted, g_free);
+  g_source_set_callback (source, run_posted_task, posted, g_free);
   g_source_attach (source, control->context);
   g_source_unref (source);
 }
 
 static void
-run_waited (struct ctl_control *control, void *data)
+run_sync_task (struct ctl_control *control, void *data)
 {
-  struct waited *waited = data;
-  waited->task (control, waited->data);
-  pthread_mutex_lock (&waited->lock);
-  waited->done = true;
-  pthread_cond_signal (&waited->done_changed);
-  pthread_mutex_unlock (&waited->lock);
+  struct sync_task *sync = data;
+  sync->task (control, sync->data);
+  pthread_mutex_lock (&sync->lock);
+  sync->done = true;
+  pthread_cond_signal (&sync->done_cond);
+  pthread_mutex_unlock (&sync->lock);
 }
 
-/* Runs TASK on the control thread and waits for its end.  Not to be called on
-   the control thread itself.  */
+/* Runs TASK on the control thread with DATA and returns when it has completed.
+   Must not be called on the control thread, which would deadlock.  */
 void
 ctl_call (struct ctl_control *control, ctl_task task, void *data)
 {
-  struct waited waited = { .task = task, .data = data };
-  pthread_mutex_init (&waited.lock, NULL);
-  pthread_cond_init (&waited.done_changed, NULL);
-  ctl_post (control, run_waited, &waited);
-  pthread_mutex_lock (&waited.lock);
-  while (!waited.done)
+  struct sync_task sync = { .task = task, .data = data };
+  pthread_mutex_init (&sync.lock, NULL);
+  pthread_cond_init (&sync.done_cond, NULL);
+  ctl_post (control, run_sync_task, &sync);
+  pthread_mutex_lock (&sync.lock);
+  while (!sync.done)
     {
-      pthread_cond_wait (&waited.done_changed, &waited.lock);
+      pthread_cond_wait (&sync.done_cond, &sync.lock);
     }
-  pthread_mutex_unlock (&waited.lock);
-  pthread_cond_destroy (&waited.done_changed);
-  pthread_mutex_destroy (&waited.lock);
+  pthread_mutex_unlock (&sync.lock);
+  pthread_cond_destroy (&sync.done_cond);
+  pthread_mutex_destroy (&sync.lock);
 }
 
+/* Lets the traffic thread send the call, or releases its claim when the caller
+   has gone.  */
 static void
-dispatch_call (struct ctl_control *control, uint64_t request_id)
+dispatch_keyed_call (struct ctl_control *control, uint64_t request_id)
 {
   struct kc_call *call
       = g_hash_table_lookup (control->keyed_calls, &request_id);
@@ -108,7 +120,8 @@
 }
 
 static void
-answer_call (struct ctl_control *control, const struct act_answer *answer)
+answer_keyed_call (struct ctl_control *control,
+                   const struct act_answer *answer)
 {
   struct kc_call *call
       = g_hash_table_lookup (control->keyed_calls, &answer->request_id);
@@ -120,7 +133,7 @@
 }
 
 static void
-apply (struct ctl_control *control, const struct act_apply *action)
+apply_config (struct ctl_control *control, const struct act_apply *action)
 {
   gsize bytes = 0;
   const char *yaml = g_bytes_get_data (action->yaml, &bytes);
@@ -128,7 +141,7 @@
 }
 
 static void
-perform (struct ctl_control *control, const struct act *action)
+perform_action (struct ctl_control *control, const struct act *action)
 {
   switch (action->kind)
     {
@@ -136,13 +149,13 @@
       lio_append (control->log_io, &action->append);
       return;
     case ACT_ANSWER:
-      answer_call (control, &action->answer);
+      answer_keyed_call (control, &action->answer);
       return;
     case ACT_DISPATCH:
-      dispatch_call (control, action->dispatch.request_id);
+      dispatch_keyed_call (control, action->dispatch.request_id);
       return;
     case ACT_APPLY:
-      apply (control, &action->apply);
+      apply_config (control, &action->apply);
       return;
     case ACT_ANSWER_PUBLISH:
       ctl_answer_publisher (control, &action->publish);
@@ -153,20 +166,21 @@
     }
 }
 
-/* Performs the actions that the machines have asked for, those included that
-   performing one adds.  */
+/* Performs the actions that the state machines have requested, including those
+   that are added meanwhile, and clears the list.  */
 void
 ctl_perform_actions (struct ctl_control *control)
 {
   for (uint32_t i = 0; i < act_list_length (control->actions); i++)
     {
       struct act action = *act_list_get (control->actions, i);
-      perform (control, &action);
+      perform_action (control, &action);
     }
   act_list_clear (control->actions);
 }
 
-/* Returns whether NEXT_US has come, and moves it on by INTERVAL_US if so.  */
+/* Returns whether NEXT_US has passed, and if so sets it to INTERVAL_US from
+   now.  */
 static bool
 is_due (int64_t *next_us, int64_t now_us, int64_t interval_us)
 {
@@ -179,7 +193,7 @@
 }
 
 static void
-put_gauges (struct ctl_control *control)
+update_gauges (struct ctl_control *control)
 {
   const struct met_metrics *metrics = control->params.metrics;
   struct clm_stats claims = clm_stats (control->claims);
@@ -197,8 +211,8 @@
   cnt_put (metrics->keys, claims.keys);
 }
 
-/* Claims, the view and the queue are looked after at each tick; what changes
-   by the second less often.  */
+/* Runs every TICK_MS.  Advances claims, configuration, view and admission
+   queue at each call, and the rest at the longer intervals above.  */
 static gboolean
 tick (gpointer data)
 {
@@ -221,7 +235,7 @@
       ctl_update_capacity (control);
       ctl_orders_tick (control);
       ctl_burn_tick (control);
-      put_gauges (control);
+      update_gauges (control);
     }
   return G_SOURCE_CONTINUE;
 }
@@ -244,16 +258,16 @@
 }
 
 static void
-unref_call (gpointer data)
+unref_keyed_call (gpointer data)
 {
   kc_unref (data);
 }
 
 static void
-create_machines (struct ctl_control *control)
+create_state_machines (struct ctl_control *control)
 {
   struct clm_params claims
-      = clm_params_default (control->incarnation, INT64_C (86400) * CLK_S_US);
+      = clm_params_default (control->incarnation, KEY_LIFETIME_US);
   control->claims = clm_create (&claims);
   control->config_state = ctl_create_config_state (control->incarnation);
   const struct brn_params burn = { .incarnation = control->incarnation };
@@ -264,12 +278,13 @@
   control->pending_publications
       = g_hash_table_new (g_int64_hash, g_int64_equal);
   control->load_reports = g_hash_table_new_full (NULL, NULL, NULL, g_free);
-  control->keyed_calls
-      = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, unref_call);
+  control->keyed_calls = g_hash_table_new_full (g_int64_hash, g_int64_equal,
+                                                NULL, unref_keyed_call);
 }
 
-/* Returns a number that rises with each start of a process and differs between
-   processes that start at the same time.  */
+/* Returns a number that identifies this process: it increases with every start
+   of a daemon, and its random low bits tell daemons that start in the same
+   microsecond apart.  */
 static uint64_t
 new_incarnation (void)
 {
@@ -301,8 +316,9 @@
   g_free (control);
 }
 
-/* Starts the control thread and the I/O threads that feed it.  Errors:
-   ERR_SETTINGS when the peer address cannot be listened on.  */
+/* Starts the control thread, the peer connections and the threads that read
+   the log and poll endpoints.  Returns NULL on errors: ERR_SETTINGS when the
+   peer address cannot be listened on.  */
 struct ctl_control *
 ctl_create (const struct ctl_params *params, GError **error)
 {
@@ -314,7 +330,7 @@
   control->context = g_main_context_new ();
   control->loop = g_main_loop_new (control->context, FALSE);
   control->ready_daemons = 1;
-  create_machines (control);
+  create_state_machines (control);
   if (!ctl_peers_start (control, error))
     {
       free_control (control);
@@ -343,7 +359,8 @@
   g_main_loop_quit (control->loop);
 }
 
-/* Ends the threads and frees CONTROL; no traffic thread may use it.  */
+/* Stops the threads and frees CONTROL, which may be NULL.  No traffic thread
+   may use it any more.  */
 void
 ctl_destroy (struct ctl_control *control)
 {
@@ -358,14 +375,16 @@
   free_control (control);
 }
 
-/* Returns whether the balancer may send requests here.  Thread-safe.  */
+/* Returns whether the load balancer may send requests to this daemon: it has a
+   recent configuration and isn't stopping.  Thread-safe.  */
 bool
 ctl_ready (const struct ctl_control *control)
 {
   return control->has_config && control->serving_allowed && !control->stopping;
 }
 
-/* Makes the daemon unready; requests that still arrive are served.  */
+/* Makes ctl_ready return false.  Requests that still arrive are served.
+   Thread-safe.  */
 void
 ctl_begin_stop (struct ctl_control *control)
 {
--- a/src/daemon/control.h
+++ b/src/daemon/control.h
@@ -1,5 +1,10 @@
-/* The control thread: holds the control machines, feeds them events and
-   performs their actions. */
+/* The control thread.
+
+   The daemon's shared state lives in state machines without I/O: claims of
+   idempotency keys, configuration, membership, lease, orders and service-level
+   counts.  Only the control thread calls them.  Other threads post tasks to
+   this thread, which passes events to the state machines, performs the actions
+   that they request, and publishes the view that traffic threads read. */
 #ifndef DAEMON_CONTROL_H
 #define DAEMON_CONTROL_H
 
@@ -13,6 +18,7 @@
 
 struct ctl_control;
 
+/* All of these outlive the control thread. */
 struct ctl_params
 {
   const struct set_settings *settings;
@@ -21,7 +27,7 @@
   struct met_metrics *metrics;
 };
 
-/* Runs on the control thread. */
+/* A task for the control thread. */
 typedef void (*ctl_task) (struct ctl_control *control, void *data);
 
 struct ctl_control *ctl_create (const struct ctl_params *params,
