--- a/src/daemon/control_burn.c
+++ b/src/daemon/control_burn.c
@@ -6,18 +6,21 @@
 
 #include <string.h>
 
-#define PAGE_RECORDS 256
-#define PAGES_MAX 4096
+#define READ_PAGE_RECORDS_MAX 256
 
+/* Of one report. */
+#define READ_PAGES_MAX 4096
+
+/* Returns the name of HOST's data centre, or "" for an unknown host.  */
 static const char *
-data_centre_of (const struct cfg_config *config, const char *host)
+data_centre_of_host (const struct cfg_config *config, const char *host)
 {
   const struct cfg_host *found = cfg_find_host (config, host);
   return found != NULL ? config->data_centres[found->data_centre].name : "";
 }
 
 static void
-observe (struct ctl_control *control, void *data)
+observe_event (struct ctl_control *control, void *data)
 {
   struct brn_event *event = data;
   const struct cfg_account *account
@@ -34,7 +37,7 @@
         .between_tokens_us = event->between_tokens_us,
         .settled_us = event->settled_us,
         .endpoint = event->endpoint,
-        .data_centre = data_centre_of (control->config, event->endpoint),
+        .data_centre = data_centre_of_host (control->config, event->endpoint),
         .objective = &account->objective,
       };
       brn_observe (control->burn, &outcome, clk_real_us ());
@@ -42,15 +45,16 @@
   g_free (event);
 }
 
-/* Counts how one request ended.  Called on traffic threads.  */
+/* Counts a request by how it ended.  Requests of accounts that aren't in the
+   configuration are ignored.  EVENT is copied.  Thread-safe.  */
 void
 ctl_burn_observe (struct ctl_control *control, const struct brn_event *event)
 {
-  ctl_post (control, observe, g_memdup2 (event, sizeof *event));
+  ctl_post (control, observe_event, g_memdup2 (event, sizeof *event));
 }
 
-/* Writes what was counted to the log when it is time; called by the tick.  A
-   daemon that stops writes at once.  */
+/* Appends the counts to the log when they are due; a daemon that is stopping
+   appends them at once.  Called periodically on the control thread.  */
 void
 ctl_burn_tick (struct ctl_control *control)
 {
@@ -59,7 +63,8 @@
   ctl_perform_actions (control);
 }
 
-/* Takes the result of an append of ctl_burn_tick.  */
+/* Passes on the result of the append TOKEN that ctl_burn_tick requested.
+   Called on the control thread.  */
 void
 ctl_burn_handle_append_result (struct ctl_control *control, uint64_t token,
                                enum err_kind result)
@@ -68,7 +73,7 @@
 }
 
 static void
-merge_page (struct ctl_control *control, void *data)
+merge_records (struct ctl_control *control, void *data)
 {
   const struct plog_page *page = data;
   for (size_t i = 0; i < page->record_count; i++)
@@ -89,29 +94,30 @@
 }
 
 static void
-read_offset (struct ctl_control *control, void *data)
+get_next_offset (struct ctl_control *control, void *data)
 {
   uint64_t *offset = data;
   *offset = control->next_burn_offset;
 }
 
-/* Reads what the other daemons wrote since the last report.  */
+/* Reads the records that daemons have appended since the last report, and
+   merges them.  */
 static void
 read_records (struct ctl_control *control)
 {
   struct plog_client *client
       = plog_create (control->params.settings->log_urls);
   bool more = true;
-  for (int i = 0; i < PAGES_MAX && more; i++)
+  for (int i = 0; i < READ_PAGES_MAX && more; i++)
     {
       uint64_t from = 0;
       struct plog_page page;
-      ctl_call (control, read_offset, &from);
-      enum err_kind error
-          = plog_read (client, BRN_STREAM, from, PAGE_RECORDS, 0, &page);
+      ctl_call (control, get_next_offset, &from);
+      enum err_kind error = plog_read (client, BRN_STREAM, from,
+                                       READ_PAGE_RECORDS_MAX, 0, &page);
       if (error == ERR_NONE)
         {
-          ctl_call (control, merge_page, &page);
+          ctl_call (control, merge_records, &page);
         }
       more = error == ERR_NONE && page.record_count > 0;
       plog_page_clear (&page);
@@ -120,7 +126,7 @@
 }
 
 static void
-make_report (struct ctl_control *control, void *data)
+build_report (struct ctl_control *control, void *data)
 {
   json_t **json = data;
   if (control->config == NULL)
@@ -134,14 +140,15 @@
   brn_report_destroy (report);
 }
 
-/* Returns the report over all daemons, owned by the caller.  The records of
-   other daemons are read now, so that a daemon that nobody asks reads none.
-   Not to be called on the control thread.  */
+/* Returns the report over all daemons, owned by the caller; an empty object
+   before the first configuration.  Other daemons' records are read from the
+   log only now, so that a daemon that is never asked for a report reads none.
+   Must not be called on the control thread.  */
 json_t *
 ctl_burn_report (struct ctl_control *control)
 {
   json_t *json = NULL;
   read_records (control);
-  ctl_call (control, make_report, &json);
+  ctl_call (control, build_report, &json);
   return json;
 }
--- a/src/daemon/control_burn.h
+++ b/src/daemon/control_burn.h
@@ -1,12 +1,15 @@
-/* Service-level burn: outcomes from traffic threads, records in the log, and
-   the report. */
+/* Service-level report: connects the counts of good and bad requests
+   (core/burn.h) to the traffic threads, which report outcomes, to the burn
+   stream of the log, through which daemons exchange counts, and to operators,
+   who ask for the report. */
 #ifndef DAEMON_CONTROL_BURN_H
 #define DAEMON_CONTROL_BURN_H
 
 #include "core/burn.h"
 #include "daemon/control.h"
 
-/* How one request ended; see struct brn_outcome. */
+/* How one request ended.  The fields are those of struct brn_outcome; times
+   below 0 aren't counted. */
 struct brn_event
 {
   char account[CFG_NAME_BYTES];
