--- a/src/daemon/control_config.c
+++ b/src/daemon/control_config.c
@@ -7,26 +7,30 @@
 
 #include <string.h>
 
-#define PUBLISH_WAIT_US (10 * CLK_S_US)
-#define DRAIN_ATTEMPTS 5
+#define PUBLISH_TIMEOUT_US (10 * CLK_S_US)
+#define DRAIN_ATTEMPTS_MAX 5
+
+/* How long the platform's log keeps a record: 48 hours. */
 #define LOG_RETENTION_US (INT64_C (48) * 3600 * CLK_S_US)
 
-/* A publisher that waits for the log's order to decide. */
+/* A publication and the thread that waits for its answer.  LOCK protects the
+   fields below it. */
 struct publish_wait
 {
   uint64_t id;
   const struct opr_publish *publish;
   uint64_t base_version;
   pthread_mutex_t lock;
-  pthread_cond_t changed;
+  pthread_cond_t answered_cond;
   bool answered;
   enum err_kind kind;
   uint64_t version;
 };
 
-/* An operator's drains are signs of leaving.  */
+/* Marks the hosts as leaving, or not, by the drain flags of the configuration
+   in force.  */
 static void
-take_drains (struct ctl_control *control)
+apply_drains (struct ctl_control *control)
 {
   const struct cfg_config *config = control->config;
   for (uint32_t i = 0; i < config->host_count; i++)
@@ -38,8 +42,10 @@
     }
 }
 
-/* Puts a configuration in force.  It was found valid when it was accepted;
-   one that this version cannot read is logged and the old one stays.  */
+/* Puts the configuration YAML in force as VERSION and publishes a view of it.
+   A configuration was checked when it was accepted, but perhaps by another
+   release of the program: one that this release can't parse is logged, and the
+   previous configuration stays in force.  Called on the control thread.  */
 void
 ctl_apply_config (struct ctl_control *control, uint64_t version,
                   const char *yaml, size_t yaml_bytes)
@@ -48,15 +54,15 @@
     {
       return;
     }
-  GString *complaints = g_string_new (NULL);
+  GString *parse_errors = g_string_new (NULL);
   g_autoptr (GError) error = NULL;
   struct cfg_config *config
-      = cfg_parse ("configuration", yaml, yaml_bytes, complaints, &error);
+      = cfg_parse ("configuration", yaml, yaml_bytes, parse_errors, &error);
   if (config == NULL)
     {
       lg_line (LOG_ERR, "config-rejected", "version=%lu message=\"%s\"",
-               (unsigned long)version, complaints->str);
-      g_string_free (complaints, TRUE);
+               (unsigned long)version, parse_errors->str);
+      g_string_free (parse_errors, TRUE);
       return;
     }
   config->version = version;
@@ -66,38 +72,39 @@
   control->config_yaml = g_strndup (yaml, yaml_bytes);
   control->view_outdated = true;
   control->next_fleet_tick_us = 0;
-  g_string_free (complaints, TRUE);
-  take_drains (control);
+  g_string_free (parse_errors, TRUE);
+  apply_drains (control);
   lg_line (LOG_NOTICE, "config-applied", "version=%lu hosts=%u accounts=%u",
            (unsigned long)version, config->host_count, config->account_count);
   ctl_publish_view (control);
 }
 
-/* Returns whether this program can put the configuration in force.  */
+/* Implements the callback of struct cst_params.  */
 static bool
-is_valid (const char *yaml, size_t bytes, void *user_data)
+is_config_valid (const char *yaml, size_t bytes, void *user_data)
 {
   (void)user_data;
-  GString *complaints = g_string_new (NULL);
+  GString *parse_errors = g_string_new (NULL);
   struct cfg_config *config
-      = cfg_parse ("configuration", yaml, bytes, complaints, NULL);
+      = cfg_parse ("configuration", yaml, bytes, parse_errors, NULL);
   bool valid = config != NULL;
   cfg_config_destroy (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (parse_errors, TRUE);
   return valid;
 }
 
-/* Creates the machine of the configuration.  */
+/* Creates the state machine of the configuration.  */
 struct cst *
 ctl_create_config_state (uint64_t incarnation)
 {
   struct cst_params params
       = cst_params_default (incarnation, LOG_RETENTION_US);
-  params.valid = is_valid;
+  params.valid = is_config_valid;
   return cst_create (&params);
 }
 
-/* Gives a publisher the answer of the machine.  */
+/* Passes the state machine's ANSWER on to the thread that published, unless
+   that has stopped waiting.  Called on the control thread.  */
 void
 ctl_answer_publisher (struct ctl_control *control,
                       const struct act_answer_publish *answer)
@@ -113,12 +120,12 @@
   wait->answered = true;
   wait->kind = answer->kind;
   wait->version = answer->version;
-  pthread_cond_signal (&wait->changed);
+  pthread_cond_signal (&wait->answered_cond);
   pthread_mutex_unlock (&wait->lock);
 }
 
 static void
-begin_publish (struct ctl_control *control, void *data)
+start_publication (struct ctl_control *control, void *data)
 {
   struct publish_wait *wait = data;
   struct cst_publication publication = {
@@ -135,42 +142,48 @@
 }
 
 static void
-forget_publish (struct ctl_control *control, void *data)
+remove_pending (struct ctl_control *control, void *data)
 {
   struct publish_wait *wait = data;
   g_hash_table_remove (control->pending_publications, &wait->id);
 }
 
+/* Waits until the publication is answered, at most PUBLISH_TIMEOUT_US.  */
 static void
-wait_for_answer (struct publish_wait *wait)
+wait_for_publish_answer (struct publish_wait *wait)
 {
   struct timespec until;
   clock_gettime (CLOCK_REALTIME, &until);
-  until.tv_sec += PUBLISH_WAIT_US / CLK_S_US;
+  until.tv_sec += PUBLISH_TIMEOUT_US / CLK_S_US;
   int result = 0;
   pthread_mutex_lock (&wait->lock);
   while (!wait->answered && result == 0)
     {
-      result = pthread_cond_timedwait (&wait->changed, &wait->lock, &until);
+      result
+          = pthread_cond_timedwait (&wait->answered_cond, &wait->lock, &until);
     }
   pthread_mutex_unlock (&wait->lock);
 }
 
-/* Checks and publishes a configuration and waits for the log's order to
-   decide.  FAILURE: ERR_CONFIG_INVALID and the kinds of cst_publish.  */
+/* Checks and publishes a configuration, and waits until its place in the log
+   decides whether it is accepted.  Sets VERSION to the accepted version, else
+   to the one in force, or 0 when there was no answer in time.  FAILURE:
+   ERR_CONFIG_INVALID with the parser's messages, ERR_APPEND_UNKNOWN when there
+   was no answer within PUBLISH_TIMEOUT_US, and the kinds of cst_publish.  */
 bool
 ctl_config_publish (struct ctl_control *control,
                     const struct opr_publish *publish, uint64_t *version,
                     struct err_failure *failure)
 {
-  GString *complaints = g_string_new (NULL);
+  GString *parse_errors = g_string_new (NULL);
   g_autoptr (GError) error = NULL;
-  struct cfg_config *config = cfg_parse (
-      "configuration", publish->yaml, publish->yaml_bytes, complaints, &error);
+  struct cfg_config *config
+      = cfg_parse ("configuration", publish->yaml, publish->yaml_bytes,
+                   parse_errors, &error);
   if (config == NULL)
     {
-      err_fail (failure, ERR_CONFIG_INVALID, complaints->str);
-      g_string_free (complaints, TRUE);
+      err_fail (failure, ERR_CONFIG_INVALID, parse_errors->str);
+      g_string_free (parse_errors, TRUE);
       return false;
     }
   struct publish_wait wait = {
@@ -180,13 +193,13 @@
     .kind = ERR_APPEND_UNKNOWN,
   };
   cfg_config_destroy (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (parse_errors, TRUE);
   pthread_mutex_init (&wait.lock, NULL);
-  pthread_cond_init (&wait.changed, NULL);
-  ctl_call (control, begin_publish, &wait);
-  wait_for_answer (&wait);
-  ctl_call (control, forget_publish, &wait);
-  pthread_cond_destroy (&wait.changed);
+  pthread_cond_init (&wait.answered_cond, NULL);
+  ctl_call (control, start_publication, &wait);
+  wait_for_publish_answer (&wait);
+  ctl_call (control, remove_pending, &wait);
+  pthread_cond_destroy (&wait.answered_cond);
   pthread_mutex_destroy (&wait.lock);
   *version = wait.version;
   if (wait.kind != ERR_NONE)
@@ -196,41 +209,43 @@
   return wait.kind == ERR_NONE;
 }
 
-/* A copy of what is in force, for another thread. */
-struct shown
+/* A copy of the configuration in force, for use on other threads. */
+struct config_copy
 {
-  char *yaml; /* NULL: nothing is in force */
-  uint64_t version;
-  uint32_t in_force; /* daemons that have it in force */
-  uint32_t daemons;  /* alive */
+  char *yaml;        /* owned; NULL: no configuration is in force */
+  uint64_t version;  /* 0: none */
+  uint32_t in_force; /* daemons that have this version in force */
+  uint32_t daemons;  /* daemons that are alive */
 };
 
 static void
-copy_shown (struct ctl_control *control, void *data)
+copy_config (struct ctl_control *control, void *data)
 {
-  struct shown *shown = data;
-  shown->yaml = g_strdup (control->config_yaml);
-  shown->version = control->config != NULL ? control->config->version : 0;
-  shown->daemons = mem_alive_count (control->members);
-  shown->in_force = mem_in_force_count (control->members, shown->version);
+  struct config_copy *copy = data;
+  copy->yaml = g_strdup (control->config_yaml);
+  copy->version = control->config != NULL ? control->config->version : 0;
+  copy->daemons = mem_alive_count (control->members);
+  copy->in_force = mem_in_force_count (control->members, copy->version);
 }
 
-/* Returns the configuration in force, owned by the caller.  FAILURE:
-   ERR_NOT_READY before the first.  */
+/* Returns the configuration in force as JSON, owned by the caller, with the
+   number of daemons that have it in force.  Returns NULL before the first
+   configuration, with FAILURE set to ERR_NOT_READY.  */
 json_t *
 ctl_config_show (struct ctl_control *control, struct err_failure *failure)
 {
-  struct shown shown = { .yaml = NULL };
-  ctl_call (control, copy_shown, &shown);
-  if (shown.yaml == NULL)
+  struct config_copy current = { .yaml = NULL };
+  ctl_call (control, copy_config, &current);
+  if (current.yaml == NULL)
     {
       err_fail (failure, ERR_NOT_READY, NULL);
       return NULL;
     }
-  json_t *json = json_pack (
-      "{s:I, s:i, s:i, s:s}", "version", (json_int_t)shown.version, "in_force",
-      (int)shown.in_force, "daemons", (int)shown.daemons, "yaml", shown.yaml);
-  g_free (shown.yaml);
+  json_t *json = json_pack ("{s:I, s:i, s:i, s:s}", "version",
+                            (json_int_t)current.version, "in_force",
+                            (int)current.in_force, "daemons",
+                            (int)current.daemons, "yaml", current.yaml);
+  g_free (current.yaml);
   return json;
 }
 
@@ -247,49 +262,56 @@
   return NULL;
 }
 
-/* Returns the YAML of SHOWN with the drain of HOST set, as the next version;
-   NULL when there is no such host.  */
+/* Returns the YAML of the version after CURRENT, which differs from it in the
+   drain flag of HOST; owned by the caller.  Returns NULL when there is no such
+   host.  */
 static char *
-with_drain (const struct shown *shown, const char *host, bool draining)
+emit_with_drain (const struct config_copy *current, const char *host,
+                 bool draining)
 {
-  GString *complaints = g_string_new (NULL);
-  struct cfg_config *config = cfg_parse (
-      "configuration", shown->yaml, strlen (shown->yaml), complaints, NULL);
+  GString *parse_errors = g_string_new (NULL);
+  struct cfg_config *config
+      = cfg_parse ("configuration", current->yaml, strlen (current->yaml),
+                   parse_errors, NULL);
   char *yaml = NULL;
   struct cfg_host *found = config != NULL ? find_host (config, host) : NULL;
   if (found != NULL)
     {
       found->draining = draining;
-      config->version = shown->version + 1;
-      config->base_version = shown->version;
+      config->version = current->version + 1;
+      config->base_version = current->version;
       yaml = cfg_emit (config);
     }
   cfg_config_destroy (config);
-  g_string_free (complaints, TRUE);
+  g_string_free (parse_errors, TRUE);
   return yaml;
 }
 
-/* Publishes the configuration in force with the drain of HOST set, again when
-   another publisher was first.  FAILURE: ERR_NOT_FOUND, ERR_NOT_READY and
-   those of ctl_config_publish.  */
+/* Publishes the configuration in force with the drain flag of HOST changed to
+   DRAINING.  When another publication was accepted first, tries again on top
+   of it, up to DRAIN_ATTEMPTS_MAX times in all.  Sets VERSION and FAILURE like
+   ctl_config_publish; FAILURE may also be ERR_NOT_FOUND for an unknown host,
+   or ERR_NOT_READY before the first configuration.  */
 bool
 ctl_config_drain (struct ctl_control *control, const char *host, bool draining,
                   uint64_t *version, struct err_failure *failure)
 {
   bool accepted = false;
   failure->kind = ERR_CONFIG_STALE_BASE;
-  for (int i = 0; i < DRAIN_ATTEMPTS && !accepted
+  for (int i = 0; i < DRAIN_ATTEMPTS_MAX && !accepted
                   && failure->kind == ERR_CONFIG_STALE_BASE;
        i++)
     {
-      struct shown shown = { .yaml = NULL };
-      ctl_call (control, copy_shown, &shown);
-      char *yaml
-          = shown.yaml != NULL ? with_drain (&shown, host, draining) : NULL;
+      struct config_copy current = { .yaml = NULL };
+      ctl_call (control, copy_config, &current);
+      char *yaml = current.yaml != NULL
+                       ? emit_with_drain (&current, host, draining)
+                       : NULL;
       if (yaml == NULL)
         {
           err_fail (failure,
-                    shown.yaml != NULL ? ERR_NOT_FOUND : ERR_NOT_READY, NULL);
+                    current.yaml != NULL ? ERR_NOT_FOUND : ERR_NOT_READY,
+                    NULL);
         }
       else
         {
@@ -301,13 +323,13 @@
           accepted = ctl_config_publish (control, &publish, version, failure);
         }
       g_free (yaml);
-      g_free (shown.yaml);
+      g_free (current.yaml);
     }
   return accepted;
 }
 
 static void
-list_history (struct ctl_control *control, void *data)
+add_history_entries (struct ctl_control *control, void *data)
 {
   uint32_t count = cst_history_length (control->config_state);
   for (uint32_t i = 0; i < count; i++)
@@ -323,11 +345,12 @@
     }
 }
 
-/* Returns the versions that are remembered, owned by the caller.  */
+/* Returns the versions in the state machine's history as JSON, owned by the
+   caller.  */
 json_t *
 ctl_config_history (struct ctl_control *control)
 {
   json_t *versions = json_array ();
-  ctl_call (control, list_history, versions);
+  ctl_call (control, add_history_entries, versions);
   return json_pack ("{s:o}", "versions", versions);
 }
--- a/src/daemon/control_config.h
+++ b/src/daemon/control_config.h
@@ -1,4 +1,6 @@
-/* Publishing and reading the configuration, for operators. */
+/* Configuration: lets operators publish and read it, and applies the versions
+   that the configuration state machine (core/confstate.h) puts in force.  The
+   functions below wait for the control thread and must not be called on it. */
 #ifndef DAEMON_CONTROL_CONFIG_H
 #define DAEMON_CONTROL_CONFIG_H
 
