--- a/src/daemon/control_endpoints.c
+++ b/src/daemon/control_endpoints.c
@@ -1,4 +1,6 @@
-/* Endpoints: load reports, the host list, and the view made of them. */
+/* Endpoints on the control thread: polls load reports, handles these reports
+   and the host list, computes the capacity of the fleet, and publishes the
+   view that traffic threads route by. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "core/placement.h"
@@ -8,18 +10,25 @@
 #include <string.h>
 #include <xxhash.h>
 
+/* Between load polls of an engine that has never reported or is unreachable.
+   An engine is busy when its last step is no longer ago. */
 #define LOAD_POLL_INTERVAL_US (500 * CLK_MS_US)
+
+/* Between load polls of an engine that has answered no step lately. */
 #define IDLE_POLL_INTERVAL_US CLK_S_US
+
+/* Between load polls of a busy engine. */
 #define BUSY_POLL_INTERVAL_US (3 * CLK_S_US)
 
-struct load_event
+/* The result of a load poll. */
+struct load_result
 {
   struct ept_endpoint *endpoint;
   enum err_kind error;
   struct eng_load load;
 };
 
-/* Returns whether two reports name the same ranges.  */
+/* Returns whether two load reports list the same ranges in the same order.  */
 static bool
 same_ranges (const struct eng_load *a, const struct eng_load *b)
 {
@@ -41,9 +50,9 @@
 }
 
 static void
-take_load (struct ctl_control *control, void *data)
+handle_load (struct ctl_control *control, void *data)
 {
-  struct load_event *event = data;
+  struct load_result *event = data;
   struct ept_endpoint *endpoint = event->endpoint;
   int64_t now_us = clk_monotonic_us ();
   endpoint->poll_in_flight = false;
@@ -57,10 +66,10 @@
              event->load.leaving, now_us);
   struct lv_outcome outcome = lv_endpoint_says (
       control->leaving_hosts, endpoint->host, 0, event->load.leaving, now_us);
-  const struct eng_load *known
+  const struct eng_load *previous
       = g_hash_table_lookup (control->load_reports, endpoint);
   ctl_apply_leaving_outcome (control, &outcome);
-  if (known == NULL || !same_ranges (known, &event->load))
+  if (previous == NULL || !same_ranges (previous, &event->load))
     {
       control->view_outdated = true;
     }
@@ -71,20 +80,20 @@
 }
 
 static void
-on_load (struct ept_endpoint *endpoint, enum err_kind error,
-         const struct eng_load *load, void *user_data)
+post_load (struct ept_endpoint *endpoint, enum err_kind error,
+           const struct eng_load *load, void *user_data)
 {
-  struct load_event *event = g_new0 (struct load_event, 1);
-  *event = (struct load_event){
+  struct load_result *event = g_new0 (struct load_result, 1);
+  *event = (struct load_result){
     .endpoint = endpoint,
     .error = error,
     .load = *load,
   };
-  ctl_post (user_data, take_load, event);
+  ctl_post (user_data, handle_load, event);
 }
 
 static void
-take_list (struct ctl_control *control, void *data)
+handle_host_list (struct ctl_control *control, void *data)
 {
   struct hl_list *list = data;
   for (uint32_t i = 0; i < list->host_count; i++)
@@ -104,39 +113,43 @@
 }
 
 static void
-on_list (const struct hl_list *list, void *user_data)
+post_host_list (const struct hl_list *list, void *user_data)
 {
   struct hl_list *copy = g_memdup2 (list, sizeof *list);
   copy->hosts
       = g_memdup2 (list->hosts, sizeof *list->hosts * list->host_count);
-  ctl_post (user_data, take_list, copy);
+  ctl_post (user_data, handle_host_list, copy);
 }
 
-/* Returns the callbacks of the poller, which post to the control thread.  */
+/* Returns the callbacks for the poller, which post the results to the control
+   thread.  */
 struct pol_callbacks
 ctl_poller_callbacks (void)
 {
-  return (struct pol_callbacks){ .on_load = on_load, .on_list = on_list };
+  return (struct pol_callbacks){ .on_load = post_load,
+                                 .on_list = post_host_list };
 }
 
+/* Returns the endpoint of HOST, an index in the configuration.  */
 static struct ept_endpoint *
-endpoint_of (struct ctl_control *control, uint32_t host)
+get_endpoint (struct ctl_control *control, uint32_t host)
 {
   const struct cfg_host *entry = &control->config->hosts[host];
   return ept_get (control->endpoints, entry->name, entry->address);
 }
 
-/* Polls an engine that has told nothing lately.  A step's answer carries the
-   load, so that a busy engine is polled seldom, for its ranges; one that does
-   not answer is polled often, since it gets no stream until it does.  */
+/* Requests a load report of ENDPOINT when its poll interval has passed.  A
+   busy engine is polled rarely, only for its ranges, since the answers to
+   steps carry its load.  An unreachable engine is polled often, since it is
+   given no stream until it answers.  */
 static void
-poll_if_due (struct ctl_control *control, struct ept_endpoint *endpoint)
+poll_load_if_due (struct ctl_control *control, struct ept_endpoint *endpoint)
 {
   int64_t now_us = clk_monotonic_us ();
-  bool known = g_hash_table_contains (control->load_reports, endpoint);
+  bool reported = g_hash_table_contains (control->load_reports, endpoint);
   bool busy = now_us - endpoint->load.step_at_us < LOAD_POLL_INTERVAL_US;
   int64_t interval_us = LOAD_POLL_INTERVAL_US;
-  if (known && !endpoint->load.unreachable)
+  if (reported && !endpoint->load.unreachable)
     {
       interval_us = busy ? BUSY_POLL_INTERVAL_US : IDLE_POLL_INTERVAL_US;
     }
@@ -149,7 +162,8 @@
   pol_poll_load (control->poller, endpoint);
 }
 
-/* Has the engines of the configuration polled that are due.  */
+/* Requests the load reports that are due from the engines of the
+   configuration.  The results arrive on the control thread later.  */
 void
 ctl_poll_loads (struct ctl_control *control)
 {
@@ -158,7 +172,7 @@
     {
       if (config->hosts[i].role == CFG_HOST_ENGINE)
         {
-          poll_if_due (control, endpoint_of (control, i));
+          poll_load_if_due (control, get_endpoint (control, i));
         }
     }
 }
@@ -177,6 +191,7 @@
   return CFG_NO_INDEX;
 }
 
+/* Returns the index of this daemon's data centre, or CFG_NO_INDEX.  */
 static uint32_t
 own_data_centre (const struct ctl_control *control)
 {
@@ -193,6 +208,8 @@
   return CFG_NO_INDEX;
 }
 
+/* Copies the ranges of LOAD to ENDPOINT, except those of unknown models and
+   those that don't fit the model.  */
 static void
 fill_ranges (const struct cfg_config *config, const struct eng_load *load,
              struct snap_endpoint *endpoint)
@@ -214,13 +231,15 @@
     }
 }
 
+/* Fills the view's entry for the host at INDEX.  OWN is this daemon's data
+   centre.  */
 static void
 fill_endpoint (struct ctl_control *control, uint32_t index, uint32_t own,
                struct snap_endpoint *endpoint)
 {
   const struct cfg_config *config = control->config;
   const struct cfg_host *host = &config->hosts[index];
-  struct ept_endpoint *known = endpoint_of (control, index);
+  struct ept_endpoint *known = get_endpoint (control, index);
   const struct cfg_link path
       = cfg_path_between (config, own, host->data_centre);
   const struct eng_load *load
@@ -239,10 +258,10 @@
     }
 }
 
-/* Reads the placement that the engines report, and which of them may be given
-   work.  */
+/* Returns the placement that the engines report; freed by the caller.  Sets
+   USABLE, by host, to whether the host may be given work.  */
 static struct pl_placement *
-read_placement (const struct snap *snap, bool *usable)
+read_reported_placement (const struct snap *snap, bool *usable)
 {
   int64_t now_us = clk_monotonic_us ();
   struct pl_placement *placement = pl_create (snap->endpoint_count);
@@ -258,26 +277,28 @@
   return placement;
 }
 
-/* Returns the newest load report of HOST, or NULL before the first.  */
+/* Returns the newest load report of HOST, an index in the configuration, or
+   NULL before the first.  */
 const struct eng_load *
 ctl_get_load_report (struct ctl_control *control, uint32_t host)
 {
   return g_hash_table_lookup (control->load_reports,
-                              endpoint_of (control, host));
+                              get_endpoint (control, host));
 }
 
-/* Returns whether the engine on HOST answers and takes work.  */
+/* Returns whether HOST, an index in the configuration, has an engine that is
+   reachable and accepts new work.  */
 bool
 ctl_host_usable (struct ctl_control *control, uint32_t host)
 {
   const struct cfg_host *entry = &control->config->hosts[host];
   return entry->role == CFG_HOST_ENGINE && !entry->draining
          && lv_takes_work (control->leaving_hosts, entry->name)
-         && !endpoint_of (control, host)->load.unreachable;
+         && !get_endpoint (control, host)->load.unreachable;
 }
 
-/* Returns whether every engine that answers has reported what it holds, so
-   that a placement may be planned on it.  */
+/* Returns whether every usable engine has sent a load report, without which no
+   placement may be planned.  */
 bool
 ctl_load_reports_complete (struct ctl_control *control)
 {
@@ -292,8 +313,9 @@
   return true;
 }
 
-/* Tells the gate the capacity of the engines that may be given work, when it
-   has changed.  */
+/* Computes the capacity of the usable engines when its inputs have changed,
+   and reconfigures the admission gate when the capacity, the configuration or
+   the number of ready daemons has changed.  */
 void
 ctl_update_capacity (struct ctl_control *control)
 {
@@ -309,14 +331,16 @@
     }
   uint32_t count = view->snap.endpoint_count;
   bool *usable = g_new0 (bool, count);
-  struct pl_placement *placement = read_placement (&view->snap, usable);
-  uint64_t sum
+  struct pl_placement *placement
+      = read_reported_placement (&view->snap, usable);
+  uint64_t inputs_hash
       = XXH64 (usable, sizeof *usable * count, control->config->version);
-  sum = XXH64 (placement->hosts, sizeof *placement->hosts * count, sum);
+  inputs_hash = XXH64 (placement->hosts, sizeof *placement->hosts * count,
+                       inputs_hash);
   struct pl_bound bound = { .tokens_per_s = control->capacity_tokens_per_s };
-  if (sum != control->capacity_inputs_hash)
+  if (inputs_hash != control->capacity_inputs_hash)
     {
-      control->capacity_inputs_hash = sum;
+      control->capacity_inputs_hash = inputs_hash;
       pl_find_bound (control->config, usable, placement, &bound);
     }
   pl_destroy (placement);
@@ -334,8 +358,8 @@
     }
 }
 
-/* Publishes a new view when the configuration, the ranges or the leaving
-   endpoints have changed.  */
+/* Publishes a new view when the configuration, the ranges of an engine or the
+   set of leaving endpoints has changed since the last one.  */
 void
 ctl_publish_view (struct ctl_control *control)
 {
