--- a/src/daemon/control_endpoints.c
+++ b/src/daemon/control_endpoints.c
@@ -52,44 +52,44 @@
 static void
 handle_load (struct ctl_control *control, void *data)
 {
-  struct load_result *event = data;
-  struct ept_endpoint *endpoint = event->endpoint;
+  struct load_result *result = data;
+  struct ept_endpoint *endpoint = result->endpoint;
   int64_t now_us = clk_monotonic_us ();
   endpoint->poll_in_flight = false;
-  ld_set_reachable (&endpoint->load, event->error == ERR_NONE);
-  if (event->error != ERR_NONE)
+  ld_set_reachable (&endpoint->load, result->error == ERR_NONE);
+  if (result->error != ERR_NONE)
     {
-      g_free (event);
+      g_free (result);
       return;
     }
-  ld_report (&endpoint->load, event->load.running, event->load.queued,
-             event->load.leaving, now_us);
+  ld_report (&endpoint->load, result->load.running, result->load.queued,
+             result->load.leaving, now_us);
   struct lv_outcome outcome = lv_endpoint_says (
-      control->leaving_hosts, endpoint->host, 0, event->load.leaving, now_us);
+      control->leaving_hosts, endpoint->host, 0, result->load.leaving, now_us);
   const struct eng_load *previous
       = g_hash_table_lookup (control->load_reports, endpoint);
   ctl_apply_leaving_outcome (control, &outcome);
-  if (previous == NULL || !same_ranges (previous, &event->load))
+  if (previous == NULL || !same_ranges (previous, &result->load))
     {
       control->view_outdated = true;
     }
   g_hash_table_replace (control->load_reports, endpoint,
-                        g_memdup2 (&event->load, sizeof event->load));
-  ctl_orders_handle_load_report (control, endpoint, &event->load);
-  g_free (event);
+                        g_memdup2 (&result->load, sizeof result->load));
+  ctl_orders_handle_load_report (control, endpoint, &result->load);
+  g_free (result);
 }
 
 static void
 post_load (struct ept_endpoint *endpoint, enum err_kind error,
            const struct eng_load *load, void *user_data)
 {
-  struct load_result *event = g_new0 (struct load_result, 1);
-  *event = (struct load_result){
+  struct load_result *result = g_new0 (struct load_result, 1);
+  *result = (struct load_result){
     .endpoint = endpoint,
     .error = error,
     .load = *load,
   };
-  ctl_post (user_data, handle_load, event);
+  ctl_post (user_data, handle_load, result);
 }
 
 static void
