--- a/src/daemon/control_keyed.c
+++ b/src/daemon/control_keyed.c
@@ -5,15 +5,15 @@
 
 #include <string.h>
 
-#define SETTLE_WAIT_US (10 * CLK_S_US)
+#define SETTLE_TIMEOUT_US (10 * CLK_S_US)
 
-struct report_event
+struct finish_event
 {
   struct kc_call *call;
-  struct kc_result report;
+  struct kc_result result;
 };
 
-struct may_send
+struct send_request
 {
   struct kc_call *call;
   bool allowed;
@@ -25,14 +25,14 @@
   const struct opr_settle *settle;
 };
 
-struct refusal
+struct refusal_query
 {
   const char *account;
   const char *key;
   enum err_ran ran;
 };
 
-struct lookup
+struct key_lookup
 {
   const char *account;
   const char *key;
@@ -40,7 +40,7 @@
 };
 
 static void
-begin (struct ctl_control *control, void *data)
+request_claim (struct ctl_control *control, void *data)
 {
   struct kc_call *call = data; /* the reference passes to the table */
   struct clm_call claim = {
@@ -54,79 +54,79 @@
   ctl_perform_actions (control);
 }
 
-/* Has the claim of CALL sought; the result comes by kc_wait.  */
+/* Requests the claim of CALL; kc_wait returns the result.  */
 void
 ctl_keyed_request_claim (struct ctl_control *control, struct kc_call *call)
 {
-  ctl_post (control, begin, kc_ref (call));
+  ctl_post (control, request_claim, kc_ref (call));
 }
 
 static void
-ask_may_send (struct ctl_control *control, void *data)
+begin_send (struct ctl_control *control, void *data)
 {
-  struct may_send *question = data;
-  question->allowed
-      = clm_sent (control->claims, question->call->id, clk_monotonic_us ());
+  struct send_request *request = data;
+  request->allowed
+      = clm_sent (control->claims, request->call->id, clk_monotonic_us ());
 }
 
-/* Returns whether the claim still allows the first byte to go out, and records
-   that it does.  Called directly before sending.  */
+/* Returns whether the claim still allows CALL to be sent, and if so records
+   that it is being sent.  Called directly before the first byte is sent.  */
 bool
 ctl_keyed_begin_send (struct ctl_control *control, struct kc_call *call)
 {
-  struct may_send question = { .call = call };
-  ctl_call (control, ask_may_send, &question);
-  return question.allowed;
+  struct send_request request = { .call = call };
+  ctl_call (control, begin_send, &request);
+  return request.allowed;
 }
 
 static void
-take_report (struct ctl_control *control, void *data)
+handle_finish (struct ctl_control *control, void *data)
 {
-  struct report_event *event = data;
-  const struct kc_result *report = &event->report;
+  struct finish_event *event = data;
+  const struct kc_result *result = &event->result;
   uint64_t id = event->call->id;
   int64_t now_us = clk_monotonic_us ();
-  switch (report->end)
+  switch (result->kind)
     {
     case KC_RESULT_ANSWERED:
-      clm_outcome (control->claims, id, report->status, report->body, now_us,
+      clm_outcome (control->claims, id, result->status, result->body, now_us,
                    control->actions);
       break;
     case KC_RESULT_NOT_RUN:
-      clm_not_run (control->claims, id, report->kind, now_us,
+      clm_not_run (control->claims, id, result->error, now_us,
                    control->actions);
       break;
     case KC_RESULT_UNKNOWN:
-      clm_unknown (control->claims, id, report->kind, now_us,
+      clm_unknown (control->claims, id, result->error, now_us,
                    control->actions);
       break;
     }
   ctl_perform_actions (control);
-  if (report->body != NULL)
+  if (result->body != NULL)
     {
-      g_bytes_unref (report->body);
+      g_bytes_unref (result->body);
     }
   kc_unref (event->call);
   g_free (event);
 }
 
-/* Tells the claims machine how the dispatched CALL ended.  */
+/* Reports the RESULT of the dispatched CALL to the claims state machine.  */
 void
 ctl_keyed_finish (struct ctl_control *control, struct kc_call *call,
-                  const struct kc_result *report)
+                  const struct kc_result *result)
 {
-  struct report_event *event = g_new0 (struct report_event, 1);
+  struct finish_event *event = g_new0 (struct finish_event, 1);
   event->call = kc_ref (call);
-  event->report = *report;
-  if (report->body != NULL)
+  event->result = *result;
+  if (result->body != NULL)
     {
-      g_bytes_ref (report->body);
+      g_bytes_ref (result->body);
     }
-  ctl_post (control, take_report, event);
+  ctl_post (control, handle_finish, event);
 }
 
 static void
-give_up (struct ctl_control *control, void *data)
+abandon (struct ctl_control *control, void *data)
 {
   struct kc_call *call = data;
   g_hash_table_remove (control->keyed_calls, &call->id);
@@ -136,36 +136,39 @@
   kc_unref (call);
 }
 
-/* Nobody waits for CALL any more.  */
+/* Stops waiting for CALL: its answer will not be delivered.  */
 void
 ctl_keyed_abandon (struct ctl_control *control, struct kc_call *call)
 {
-  ctl_post (control, give_up, kc_ref (call));
+  ctl_post (control, abandon, kc_ref (call));
 }
 
 static void
-ask_refusal_ran (struct ctl_control *control, void *data)
+query_refusal_ran (struct ctl_control *control, void *data)
 {
-  struct refusal *refusal = data;
-  refusal->ran = clm_refusal_ran (control->claims, refusal->account,
-                                  refusal->key, clk_monotonic_us ());
+  struct refusal_query *query = data;
+  query->ran = clm_refusal_ran (control->claims, query->account, query->key,
+                                clk_monotonic_us ());
 }
 
-/* Returns what a call with KEY that is refused before its claim may be told:
-   an earlier call with the same key may have run.  */
+/* Returns whether a call with KEY of ACCOUNT has run, for the answer to one
+   that is refused before it requests a claim: an earlier call with the same
+   key may have run.  */
 enum err_ran
 ctl_keyed_refusal_ran (struct ctl_control *control, const char *account,
                        const char *key)
 {
-  struct refusal refusal = {
+  struct refusal_query query = {
     .account = account,
     .key = key,
     .ran = ERR_RAN_UNKNOWN,
   };
-  ctl_call (control, ask_refusal_ran, &refusal);
-  return refusal.ran;
+  ctl_call (control, query_refusal_ran, &query);
+  return query.ran;
 }
 
+/* Returns the recorded body as JSON, as a string when it isn't valid JSON, or
+   null when there is none.  */
 static json_t *
 body_to_json (const struct clm_info *info)
 {
@@ -183,7 +186,7 @@
 static void
 look_up (struct ctl_control *control, void *data)
 {
-  struct lookup *lookup = data;
+  struct key_lookup *lookup = data;
   struct clm_info info = clm_lookup (control->claims, lookup->account,
                                      lookup->key, clk_monotonic_us ());
   if (info.kind == ERR_NOT_FOUND)
@@ -198,19 +201,19 @@
   json_decref (json);
 }
 
-/* Returns the JSON of what became of KEY of ACCOUNT, or NULL when nothing is
-   known of it; freed by the caller.  */
+/* Returns the outcome recorded for KEY of ACCOUNT as a JSON text, freed by the
+   caller, or NULL when the key isn't known.  */
 char *
 ctl_keyed_lookup (struct ctl_control *control, const char *account,
                   const char *key)
 {
-  struct lookup lookup = { .account = account, .key = key };
+  struct key_lookup lookup = { .account = account, .key = key };
   ctl_call (control, look_up, &lookup);
   return lookup.json;
 }
 
 static void
-add_unknown (const struct key_state *state, void *user_data)
+append_unknown_key (const struct key_state *state, void *user_data)
 {
   json_array_append_new (
       user_data, json_pack ("{s:s, s:s, s:I, s:b}", "account", state->account,
@@ -220,18 +223,18 @@
 }
 
 static void
-list_unknown (struct ctl_control *control, void *data)
+list_unknown_keys (struct ctl_control *control, void *data)
 {
-  clm_list_unknown (control->claims, NULL, clk_monotonic_us (), add_unknown,
-                    data);
+  clm_list_unknown (control->claims, NULL, clk_monotonic_us (),
+                    append_unknown_key, data);
 }
 
-/* Returns the keys whose outcome is unknown, owned by the caller.  */
+/* Returns the keys whose outcome is unknown as JSON, owned by the caller.  */
 json_t *
 ctl_keyed_list_unknown (struct ctl_control *control)
 {
   json_t *keys = json_array ();
-  ctl_call (control, list_unknown, keys);
+  ctl_call (control, list_unknown_keys, keys);
   return json_pack ("{s:o}", "keys", keys);
 }
 
@@ -255,8 +258,9 @@
     }
 }
 
-/* Records what an operator found out of a key whose outcome is unknown.
-   FAILURE: as clm_settle.  */
+/* Records an operator's finding on a key whose outcome is unknown, and waits
+   until it is in the log.  FAILURE: ERR_APPEND_UNKNOWN when there was no
+   answer within SETTLE_TIMEOUT_US, and the kinds of clm_settle.  */
 bool
 ctl_keyed_settle (struct ctl_control *control, const struct opr_settle *settle,
                   struct err_failure *failure)
@@ -266,7 +270,7 @@
   struct settlement settlement = { .call = call, .settle = settle };
   ctl_call (control, settle_key, &settlement);
   enum err_kind kind = ERR_APPEND_UNKNOWN;
-  if (kc_wait (call, clk_monotonic_us () + SETTLE_WAIT_US) == KC_ANSWERED)
+  if (kc_wait (call, clk_monotonic_us () + SETTLE_TIMEOUT_US) == KC_ANSWERED)
     {
       kind = call->answer.kind;
     }
--- a/src/daemon/keyed.c
+++ b/src/daemon/keyed.c
@@ -5,7 +5,8 @@
 #include <errno.h>
 #include <time.h>
 
-/* Creates a call that waits for its claim.  */
+/* Creates a call in the state KC_WAITING, with one reference.  ACCOUNT and KEY
+   are copied.  */
 struct kc_call *
 kc_create (uint64_t id, const char *account, const char *key,
            uint64_t body_hash)
@@ -20,12 +21,12 @@
   pthread_mutex_init (&call->lock, NULL);
   pthread_condattr_init (&attributes);
   pthread_condattr_setclock (&attributes, CLOCK_MONOTONIC);
-  pthread_cond_init (&call->changed, &attributes);
+  pthread_cond_init (&call->state_cond, &attributes);
   pthread_condattr_destroy (&attributes);
   return call;
 }
 
-/* Takes one more reference to CALL.  */
+/* Adds a reference to CALL and returns CALL.  */
 struct kc_call *
 kc_ref (struct kc_call *call)
 {
@@ -33,7 +34,7 @@
   return call;
 }
 
-/* Drops a reference to CALL and frees it with the last one.  */
+/* Drops a reference to CALL, and frees CALL when it was the last one.  */
 void
 kc_unref (struct kc_call *call)
 {
@@ -45,15 +46,15 @@
     {
       g_bytes_unref (call->answer.body);
     }
-  pthread_cond_destroy (&call->changed);
+  pthread_cond_destroy (&call->state_cond);
   pthread_mutex_destroy (&call->lock);
   g_free (call->account);
   g_free (call->key);
   g_free (call);
 }
 
-/* Waits until CALL is dispatched or answered, or until the time of
-   clk_monotonic_us is UNTIL_US.  Returns the state then.  */
+/* Waits until CALL is dispatched or answered, or until the monotonic time
+   UNTIL_US.  Returns the state at the end of the wait.  */
 enum kc_state
 kc_wait (struct kc_call *call, int64_t until_us)
 {
@@ -67,14 +68,15 @@
   pthread_mutex_lock (&call->lock);
   while (call->state == KC_WAITING && result != ETIMEDOUT)
     {
-      result = pthread_cond_timedwait (&call->changed, &call->lock, &until);
+      result = pthread_cond_timedwait (&call->state_cond, &call->lock, &until);
     }
   enum kc_state state = call->state;
   pthread_mutex_unlock (&call->lock);
   return state;
 }
 
-/* Makes a dispatched call wait again, for its answer.  */
+/* Returns a dispatched call to KC_WAITING, so that kc_wait waits for its
+   answer. Called before the call is sent.  */
 void
 kc_rearm (struct kc_call *call)
 {
@@ -86,17 +88,19 @@
   pthread_mutex_unlock (&call->lock);
 }
 
-/* Wakes the traffic thread: the claim is held.  */
+/* Marks CALL as dispatched, since its claim is held, and wakes the traffic
+   thread.  */
 void
 kc_dispatch (struct kc_call *call)
 {
   pthread_mutex_lock (&call->lock);
   call->state = KC_DISPATCHED;
-  pthread_cond_signal (&call->changed);
+  pthread_cond_signal (&call->state_cond);
   pthread_mutex_unlock (&call->lock);
 }
 
-/* Wakes the traffic thread with the final answer; a second one is dropped.  */
+/* Sets the final answer of CALL and wakes the traffic thread.  Later answers
+   are ignored.  */
 void
 kc_answer (struct kc_call *call, const struct act_answer *answer)
 {
@@ -109,7 +113,7 @@
         {
           g_bytes_ref (answer->body);
         }
-      pthread_cond_signal (&call->changed);
+      pthread_cond_signal (&call->state_cond);
     }
   pthread_mutex_unlock (&call->lock);
 }
--- a/src/daemon/keyed.h
+++ b/src/daemon/keyed.h
@@ -1,5 +1,7 @@
-/* Calls that may not be repeated: the meeting point of the traffic thread,
-   which sends the call, and the control thread, which holds the claims. */
+/* A call with an idempotency key, shared by the traffic thread that sends the
+   call and the control thread that holds the claims.  The traffic thread waits
+   with kc_wait; the control thread wakes it with kc_dispatch or kc_answer. All
+   functions are thread-safe. */
 #ifndef DAEMON_KEYED_H
 #define DAEMON_KEYED_H
 
@@ -11,8 +13,8 @@
 
 enum kc_state
 {
-  KC_WAITING,
-  KC_DISPATCHED, /* this daemon holds the claim: send, once */
+  KC_WAITING,    /* for the claim, or for the answer after kc_rearm */
+  KC_DISPATCHED, /* this daemon holds the claim: send the call, once */
   KC_ANSWERED
 };
 
@@ -21,20 +23,20 @@
   uint64_t id; /* unique in this daemon */
   char *account;
   char *key;
-  uint64_t body_hash;
-  pthread_mutex_t lock;
-  pthread_cond_t changed;
+  uint64_t body_hash;   /* of all that repeats of the call must share */
+  pthread_mutex_t lock; /* protects STATE and ANSWER */
+  pthread_cond_t state_cond;
   enum kc_state state;
-  struct act_answer answer; /* KC_ANSWERED; its body is owned */
+  struct act_answer answer; /* KC_ANSWERED; holds a reference to its body */
   gatomicrefcount references;
 };
 
 /* How a dispatched call ended. */
 enum kc_result_kind
 {
-  KC_RESULT_ANSWERED,
-  KC_RESULT_NOT_RUN,
-  KC_RESULT_UNKNOWN
+  KC_RESULT_ANSWERED, /* by the service */
+  KC_RESULT_NOT_RUN,  /* certainly not run */
+  KC_RESULT_UNKNOWN   /* may have run */
 };
 
 struct kc_call *kc_create (uint64_t id, const char *account, const char *key,
--- a/src/daemon/service_call.c
+++ b/src/daemon/service_call.c
@@ -236,29 +236,29 @@
               const struct cal_service_call *call)
 {
   const struct tried none = { .count = 0 };
-  struct kc_result report
-      = { .end = KC_RESULT_NOT_RUN, .kind = ERR_NO_CAPACITY };
+  struct kc_result result
+      = { .kind = KC_RESULT_NOT_RUN, .error = ERR_NO_CAPACITY };
   struct ept_endpoint *endpoint = find_endpoint (env, call->service, &none);
   struct con_answer got = { .body = NULL };
   kc_rearm (claim);
   if (endpoint != NULL && ctl_keyed_begin_send (env->control, claim))
     {
-      enum svc_result result
+      enum svc_result sent
           = send_once (endpoint, terms, call, SERVICE_TIMEOUT_US, &got);
-      report.kind = ERR_ENDPOINT_FAILED;
-      report.end
-          = result == SVC_NOT_RUN ? KC_RESULT_NOT_RUN : KC_RESULT_UNKNOWN;
-      if (result == SVC_ANSWERED)
+      result.error = ERR_ENDPOINT_FAILED;
+      result.kind
+          = sent == SVC_NOT_RUN ? KC_RESULT_NOT_RUN : KC_RESULT_UNKNOWN;
+      if (sent == SVC_ANSWERED)
         {
-          report.end = KC_RESULT_ANSWERED;
-          report.status = got.status;
-          report.body = g_bytes_new (got.body->str, got.body->len);
+          result.kind = KC_RESULT_ANSWERED;
+          result.status = got.status;
+          result.body = g_bytes_new (got.body->str, got.body->len);
         }
     }
-  ctl_keyed_finish (env->control, claim, &report);
-  if (report.body != NULL)
+  ctl_keyed_finish (env->control, claim, &result);
+  if (result.body != NULL)
     {
-      g_bytes_unref (report.body);
+      g_bytes_unref (result.body);
     }
   con_answer_clear (&got);
 }
