--- a/src/daemon/control_keyed.c
+++ b/src/daemon/control_keyed.c
@@ -7,6 +7,8 @@
 
 #define SETTLE_TIMEOUT_US (10 * CLK_S_US)
 
+/* The structures below are the data of the tasks that this file posts. */
+
 struct finish_event
 {
   struct kc_call *call;
--- a/src/daemon/control_log.c
+++ b/src/daemon/control_log.c
@@ -1,4 +1,5 @@
-/* Events of the platform's log. */
+/* Passes what the log threads (log_io.h) read and append on to the state
+   machine that owns the stream or the append, on the control thread. */
 #include "base/clock.h"
 #include "base/log.h"
 #include "daemon/control_burn.h"
@@ -6,27 +7,31 @@
 
 #include <string.h>
 
+/* The result of a read.  The contents of the records in `page' are only valid
+   on the reader thread; `bytes' has copies. */
 struct page_event
 {
   char *stream;
-  bool read;             /* false: the log could not be read */
-  int64_t asked_us;      /* the page shows the log as of then */
-  struct plog_page page; /* its records' bytes are in `bytes' */
-  GPtrArray *bytes;      /* GBytes, one for each record */
+  bool read_ok;         /* false: the read failed */
+  int64_t requested_us; /* monotonic; the page shows the log as of then */
+  struct plog_page page;
+  GPtrArray *bytes; /* GBytes, one for each record */
 };
 
+/* The result of an append. */
 struct append_event
 {
   enum act_owner owner;
   uint64_t token;
   enum err_kind result;
   uint64_t offset;
-  bool log_out;
+  bool log_unavailable;
 };
 
+/* Passes one record of STREAM to the state machine of the stream.  */
 static void
-take_record (struct ctl_control *control, const char *stream,
-             const struct plog_record *record, GBytes *bytes)
+handle_record (struct ctl_control *control, const char *stream,
+               const struct plog_record *record, GBytes *bytes)
 {
   if (strcmp (stream, CST_STREAM) == 0)
     {
@@ -45,10 +50,12 @@
     }
 }
 
+/* Tells the state machine of the stream which offsets the log holds, as of the
+   time at which the page was requested.  */
 static void
-take_position (struct ctl_control *control, const struct page_event *event)
+handle_position (struct ctl_control *control, const struct page_event *event)
 {
-  int64_t now_us = event->asked_us;
+  int64_t now_us = event->requested_us;
   control->last_log_read_us = now_us;
   if (strcmp (event->stream, CST_STREAM) == 0)
     {
@@ -68,17 +75,17 @@
 }
 
 static void
-take_page_event (struct ctl_control *control, void *data)
+handle_page_event (struct ctl_control *control, void *data)
 {
   struct page_event *event = data;
-  for (size_t i = 0; event->read && i < event->page.record_count; i++)
+  for (size_t i = 0; event->read_ok && i < event->page.record_count; i++)
     {
-      take_record (control, event->stream, &event->page.records[i],
-                   g_ptr_array_index (event->bytes, i));
+      handle_record (control, event->stream, &event->page.records[i],
+                     g_ptr_array_index (event->bytes, i));
     }
-  if (event->read)
+  if (event->read_ok)
     {
-      take_position (control, event);
+      handle_position (control, event);
     }
   else if (event->page.out)
     {
@@ -98,20 +105,21 @@
   g_bytes_unref (data);
 }
 
-/* Posts a page of STREAM to the control thread; called on a reader thread.  */
+/* Posts a copy of a page of STREAM, or the failure RESULT to read it, to the
+   control thread.  Implements lio_on_page; called on a reader thread.  */
 void
 ctl_handle_log_page (const char *stream, enum err_kind result,
-                     const struct plog_page *page, int64_t asked_us,
+                     const struct plog_page *page, int64_t requested_us,
                      void *user_data)
 {
   struct page_event *event = g_new0 (struct page_event, 1);
   event->stream = g_strdup (stream);
   event->bytes = g_ptr_array_new_with_free_func (unref_bytes);
-  event->read = result == ERR_NONE;
-  event->asked_us = asked_us;
+  event->read_ok = result == ERR_NONE;
+  event->requested_us = requested_us;
   event->page = *page;
   event->page.records = NULL;
-  if (event->read)
+  if (event->read_ok)
     {
       event->page.records = g_memdup2 (
           page->records, sizeof *page->records * page->record_count);
@@ -122,12 +130,12 @@
                                         page->records[i].byte_count));
         }
     }
-  ctl_post (user_data, take_page_event, event);
+  ctl_post (user_data, handle_page_event, event);
 }
 
 static void
-take_claims_append (struct ctl_control *control,
-                    const struct append_event *event)
+handle_claims_append (struct ctl_control *control,
+                      const struct append_event *event)
 {
   int64_t now_us = clk_monotonic_us ();
   switch (event->result)
@@ -148,8 +156,8 @@
 }
 
 static void
-take_config_append (struct ctl_control *control,
-                    const struct append_event *event)
+handle_config_append (struct ctl_control *control,
+                      const struct append_event *event)
 {
   int64_t now_us = clk_monotonic_us ();
   switch (event->result)
@@ -170,8 +178,8 @@
 }
 
 static void
-take_lease_append (struct ctl_control *control,
-                   const struct append_event *event)
+handle_lease_append (struct ctl_control *control,
+                     const struct append_event *event)
 {
   int64_t now_us = clk_monotonic_us ();
   switch (event->result)
@@ -190,38 +198,38 @@
 }
 
 static void
-take_append_event (struct ctl_control *control, void *data)
+handle_append_event (struct ctl_control *control, void *data)
 {
   struct append_event *event = data;
-  if (event->log_out)
+  if (event->log_unavailable)
     {
       clm_log_out (control->claims, clk_monotonic_us ());
     }
   switch (event->owner)
     {
     case ACT_OWNER_CLAIMS:
-      take_claims_append (control, event);
+      handle_claims_append (control, event);
       break;
     case ACT_OWNER_CONFIG:
-      take_config_append (control, event);
+      handle_config_append (control, event);
       break;
     case ACT_OWNER_BURN:
       ctl_burn_handle_append_result (control, event->token, event->result);
       break;
     case ACT_OWNER_LEASE:
-      take_lease_append (control, event);
+      handle_lease_append (control, event);
       break;
     }
   ctl_perform_actions (control);
   g_free (event);
 }
 
-/* Posts the result of an append to the control thread; called on an appender
-   thread.  */
+/* Posts the result of an append to the control thread.  Implements
+   lio_on_append; called on an appender thread.  */
 void
 ctl_handle_append_result (enum act_owner owner, uint64_t token,
-                          enum err_kind result, uint64_t offset, bool log_out,
-                          void *user_data)
+                          enum err_kind result, uint64_t offset,
+                          bool log_unavailable, void *user_data)
 {
   struct append_event *event = g_new0 (struct append_event, 1);
   *event = (struct append_event){
@@ -229,7 +237,7 @@
     .token = token,
     .result = result,
     .offset = offset,
-    .log_out = log_out,
+    .log_unavailable = log_unavailable,
   };
-  ctl_post (user_data, take_append_event, event);
+  ctl_post (user_data, handle_append_event, event);
 }
--- a/src/daemon/control_private.h
+++ b/src/daemon/control_private.h
@@ -81,10 +81,10 @@
 void ctl_publish_view (struct ctl_control *control);
 
 void ctl_handle_log_page (const char *stream, enum err_kind result,
-                          const struct plog_page *page, int64_t asked_us,
+                          const struct plog_page *page, int64_t requested_us,
                           void *user_data);
 void ctl_handle_append_result (enum act_owner owner, uint64_t token,
                                enum err_kind result, uint64_t offset,
-                               bool log_out, void *user_data);
+                               bool log_unavailable, void *user_data);
 
 #endif
--- a/src/daemon/log_io.c
+++ b/src/daemon/log_io.c
@@ -7,10 +7,15 @@
 #include <string.h>
 
 #define APPEND_THREADS 3
-#define PAGE_RECORDS 512
+#define PAGE_RECORDS_MAX 512
+
+/* How long the log holds a read open when there are no new records. */
 #define READ_WAIT_MS 500
+
+/* Between a failed read and the next one. */
 #define RETRY_WAIT_US (200 * CLK_MS_US)
 
+/* A thread that reads one stream. */
 struct reader
 {
   struct lio_io *io;
@@ -22,16 +27,16 @@
 {
   struct lio_params params;
   struct plog_client *client;
-  GAsyncQueue *appends; /* struct job */
+  GAsyncQueue *appends; /* struct append_job */
   pthread_t append_threads[APPEND_THREADS];
   struct reader *readers;
   size_t reader_count;
   _Atomic bool stopping;
 };
 
-struct job
+struct append_job
 {
-  bool last; /* the thread ends */
+  bool stop_thread; /* ends the appender thread; there is no append */
   struct act_append append;
 };
 
@@ -39,17 +44,18 @@
 run_appender (void *user_data)
 {
   struct lio_io *io = user_data;
-  struct job *job = g_async_queue_pop (io->appends);
-  while (!job->last)
+  struct append_job *job = g_async_queue_pop (io->appends);
+  while (!job->stop_thread)
     {
       gsize byte_count = 0;
       uint64_t offset = 0;
-      bool out = false;
+      bool log_unavailable = false;
       const uint8_t *bytes = g_bytes_get_data (job->append.bytes, &byte_count);
-      enum err_kind result = plog_append (io->client, job->append.stream,
-                                          bytes, byte_count, &offset, &out);
+      enum err_kind result
+          = plog_append (io->client, job->append.stream, bytes, byte_count,
+                         &offset, &log_unavailable);
       io->params.on_append (job->append.owner, job->append.token, result,
-                            offset, out, io->params.user_data);
+                            offset, log_unavailable, io->params.user_data);
       g_bytes_unref (job->append.bytes);
       g_free (job);
       job = g_async_queue_pop (io->appends);
@@ -67,10 +73,10 @@
   while (!atomic_load (&io->stopping))
     {
       struct plog_page page;
-      int64_t asked_us = clk_monotonic_us ();
+      int64_t requested_us = clk_monotonic_us ();
       enum err_kind error = plog_read (io->client, reader->stream, from,
-                                       PAGE_RECORDS, READ_WAIT_MS, &page);
-      io->params.on_page (reader->stream, error, &page, asked_us,
+                                       PAGE_RECORDS_MAX, READ_WAIT_MS, &page);
+      io->params.on_page (reader->stream, error, &page, requested_us,
                           io->params.user_data);
       if (error != ERR_NONE)
         {
@@ -89,8 +95,9 @@
   return NULL;
 }
 
-/* Starts a reader thread for each stream, from its first offset on, and the
-   threads that append.  The strings of PARAMS outlive the result.  */
+/* Starts the appender threads, and one reader thread for each stream, which
+   reads the stream from its first offset on.  The strings of PARAMS must
+   outlive the result.  */
 struct lio_io *
 lio_create (const struct lio_params *params)
 {
@@ -117,7 +124,8 @@
   return io;
 }
 
-/* Performs the queued appends, ends the threads and frees IO.  */
+/* Performs the queued appends, stops the threads and frees IO, which may be
+   NULL.  */
 void
 lio_destroy (struct lio_io *io)
 {
@@ -128,8 +136,8 @@
   atomic_store (&io->stopping, true);
   for (int i = 0; i < APPEND_THREADS; i++)
     {
-      struct job *job = g_new0 (struct job, 1);
-      job->last = true;
+      struct append_job *job = g_new0 (struct append_job, 1);
+      job->stop_thread = true;
       g_async_queue_push (io->appends, job);
     }
   for (int i = 0; i < APPEND_THREADS; i++)
@@ -147,11 +155,12 @@
   g_free (io);
 }
 
-/* Queues an append; its result comes by on_append.  */
+/* Queues an append and returns at once; on_append reports the result.  Adds a
+   reference to the bytes.  Thread-safe.  */
 void
 lio_append (struct lio_io *io, const struct act_append *append)
 {
-  struct job *job = g_new0 (struct job, 1);
+  struct append_job *job = g_new0 (struct append_job, 1);
   job->append = *append;
   g_bytes_ref (job->append.bytes);
   g_async_queue_push (io->appends, job);
