--- a/src/daemon/control_orders.c
+++ b/src/daemon/control_orders.c
@@ -9,36 +9,46 @@
 
 #include <string.h>
 
-/* A host that went may come back; its ranges are placed elsewhere after this
-   time. */
+/* How long the set of usable hosts has to differ from that of the last plan
+   before the placement is planned again, since a host that went away may come
+   back. */
 #define REPLAN_DELAY_US (10 * CLK_S_US)
-#define PLAN_CHECK_US CLK_S_US
+
+/* Between checks whether the placement has to be planned. */
+#define PLAN_CHECK_INTERVAL_US CLK_S_US
+
+/* Between ticks of the orders state machine. */
 #define ORDER_INTERVAL_US (500 * CLK_MS_US)
 
 struct ctl_orders
 {
   struct lse *lease;
   struct ord *orders;
-  GThreadPool *planner; /* one thread; planning afresh takes long */
+  GThreadPool *planner; /* one thread, since planning takes too long for the
+                           control thread */
   GThreadPool *senders;
-  bool planning;
-  uint64_t planned_version;
-  bool *planned_usable; /* by host, as of the last plan */
-  uint32_t planned_hosts;
-  int64_t changed_us; /* since when the usable hosts differ; 0: they do not */
-  int64_t next_check_us;
+  bool planning; /* a plan_job is in progress */
+  /* What the last plan was made for. */
+  uint64_t planned_version; /* of the configuration; 0: none */
+  bool *planned_usable;     /* by host; see list_usable */
+  uint32_t planned_hosts;   /* length of `planned_usable' */
+  /* Since when the usable hosts have differed from those; 0: no difference. */
+  int64_t usable_changed_us;
+  int64_t next_plan_check_us;
   int64_t next_order_us;
 };
 
+/* The input and output of one run of the planner. */
 struct plan_job
 {
   struct ctl_control *control;
   struct cfg_config *config;
-  bool *usable;
+  bool *usable; /* by host */
   struct pl_placement *current;
-  struct pl_placement *wanted;
+  struct pl_placement *wanted; /* the result */
 };
 
+/* An order and its result. */
 struct order_job
 {
   struct ctl_control *control;
@@ -58,7 +68,8 @@
   g_free (job);
 }
 
-/* Returns every range of PLACEMENT, by host.  */
+/* Returns the ranges of PLACEMENT as an array of struct ord_range, ordered by
+   host; freed by the caller.  */
 static GArray *
 list_ranges (const struct pl_placement *placement)
 {
@@ -80,8 +91,10 @@
   return ranges;
 }
 
+/* Makes the result of the planner the wanted placement, unless the
+   configuration has changed meanwhile.  */
 static void
-take_plan (struct ctl_control *control, void *data)
+handle_plan (struct ctl_control *control, void *data)
 {
   struct plan_job *job = data;
   struct ctl_orders *state = control->orders;
@@ -101,16 +114,16 @@
 }
 
 static void
-run_plan (gpointer data, gpointer user_data)
+run_plan_job (gpointer data, gpointer user_data)
 {
   struct plan_job *job = data;
   (void)user_data;
   job->wanted = pl_plan (job->config, job->usable, job->current);
-  ctl_post (job->control, take_plan, job);
+  ctl_post (job->control, handle_plan, job);
 }
 
 static void
-take_order_result (struct ctl_control *control, void *data)
+handle_order_result (struct ctl_control *control, void *data)
 {
   struct order_job *job = data;
   if (job->result != ERR_NONE)
@@ -126,7 +139,7 @@
 }
 
 static void
-run_order (gpointer data, gpointer user_data)
+run_order_job (gpointer data, gpointer user_data)
 {
   struct order_job *job = data;
   (void)user_data;
@@ -138,10 +151,11 @@
     .fence = job->order.fence,
   };
   job->result = eng_order_send (job->endpoint->pool, &order);
-  ctl_post (job->control, take_order_result, job);
+  ctl_post (job->control, handle_order_result, job);
 }
 
-/* Sends ORDER when this daemon still holds the lease of its fencing number. */
+/* Sends ORDER on a sender thread, unless this daemon no longer holds the lease
+   with the fencing token of the order.  */
 void
 ctl_send_order (struct ctl_control *control, const struct act_order *order)
 {
@@ -165,7 +179,8 @@
   g_thread_pool_push (control->orders->senders, job, NULL);
 }
 
-/* Creates the machines of the lease and the orders, and their threads.  */
+/* Creates the state machines of the lease and the orders, and the threads that
+   plan and send.  */
 void
 ctl_orders_start (struct ctl_control *control)
 {
@@ -175,12 +190,13 @@
   struct ord_params orders = ord_params_default ();
   state->lease = lse_create (&lease);
   state->orders = ord_create (&orders);
-  state->planner = g_thread_pool_new (run_plan, NULL, 1, FALSE, NULL);
-  state->senders = g_thread_pool_new (run_order, NULL, 2, FALSE, NULL);
+  state->planner = g_thread_pool_new (run_plan_job, NULL, 1, FALSE, NULL);
+  state->senders = g_thread_pool_new (run_order_job, NULL, 2, FALSE, NULL);
   control->orders = state;
 }
 
-/* Ends the threads and frees the machines.  The control thread has ended.  */
+/* Stops the threads and frees the state machines.  The control thread must
+   have ended.  */
 void
 ctl_orders_stop (struct ctl_control *control)
 {
@@ -193,10 +209,12 @@
   g_free (state);
 }
 
+/* Appends COUNT reported RANGES of HOST to HELD, except those of unknown
+   models. Returns the new length of HELD.  */
 static uint32_t
-add_held (const struct cfg_config *config, uint32_t host,
-          const struct eng_range *ranges, uint32_t count, bool ready,
-          struct ord_held *held, uint32_t held_count)
+append_held (const struct cfg_config *config, uint32_t host,
+             const struct eng_range *ranges, uint32_t count, bool ready,
+             struct ord_held *held, uint32_t held_count)
 {
   for (uint32_t i = 0; i < count; i++)
     {
@@ -215,19 +233,20 @@
   return held_count;
 }
 
-/* Lists what LOAD says that HOST holds or is loading.  Returns the number.  */
+/* Sets HELD to the ranges that HOST holds or is loading according to its
+   report LOAD.  Returns their number.  */
 static uint32_t
 list_held (const struct cfg_config *config, uint32_t host,
            const struct eng_load *load,
            struct ord_held held[2 * SNAP_RANGES_MAX])
 {
-  uint32_t count = add_held (config, host, load->ranges, load->range_count,
-                             true, held, 0);
-  return add_held (config, host, load->loading, load->loading_count, false,
-                   held, count);
+  uint32_t count = append_held (config, host, load->ranges, load->range_count,
+                                true, held, 0);
+  return append_held (config, host, load->loading, load->loading_count, false,
+                      held, count);
 }
 
-/* Tells the orders machine what an engine reports.  */
+/* Passes the load report of an engine on to the orders state machine.  */
 void
 ctl_orders_handle_load_report (struct ctl_control *control,
                                const struct ept_endpoint *endpoint,
@@ -249,7 +268,8 @@
     }
 }
 
-/* Returns by host which engines the placement may use now.  */
+/* Returns, by host, whether the placement may use the host's engine now; freed
+   by the caller.  */
 static bool *
 list_usable (struct ctl_control *control)
 {
@@ -261,9 +281,10 @@
   return usable;
 }
 
-/* Returns what the engines hold by their reports, those loading included.  */
+/* Returns the placement that the engines report, including ranges that they
+   are still loading; freed by the caller.  */
 static struct pl_placement *
-read_current (struct ctl_control *control)
+get_current_placement (struct ctl_control *control)
 {
   const struct cfg_config *config = control->config;
   struct pl_placement *current = pl_create (config->host_count);
@@ -285,10 +306,12 @@
   return current;
 }
 
-/* Returns whether the placement is to be planned again: for a new
-   configuration at once, for hosts that came or went after a delay.  */
+/* Returns whether the placement has to be planned again: at once for a new
+   configuration, and after REPLAN_DELAY_US when hosts have become usable or
+   unusable.  */
 static bool
-plan_is_due (struct ctl_control *control, const bool *usable, int64_t now_us)
+needs_planning (struct ctl_control *control, const bool *usable,
+                int64_t now_us)
 {
   struct ctl_orders *state = control->orders;
   uint32_t hosts = control->config->host_count;
@@ -299,36 +322,37 @@
     }
   if (memcmp (state->planned_usable, usable, sizeof *usable * hosts) == 0)
     {
-      state->changed_us = 0;
+      state->usable_changed_us = 0;
       return false;
     }
-  if (state->changed_us == 0)
+  if (state->usable_changed_us == 0)
     {
-      state->changed_us = now_us;
+      state->usable_changed_us = now_us;
     }
-  return now_us - state->changed_us >= REPLAN_DELAY_US;
+  return now_us - state->usable_changed_us >= REPLAN_DELAY_US;
 }
 
-/* Plans in the background when it is due and this daemon holds the lease.  */
+/* Starts to plan in the background when a check is due and finds that the
+   placement has to be planned.  Called while this daemon holds the lease.  */
 static void
-plan_if_due (struct ctl_control *control, int64_t now_us)
+start_planning_if_due (struct ctl_control *control, int64_t now_us)
 {
   struct ctl_orders *state = control->orders;
-  if (state->planning || now_us < state->next_check_us
+  if (state->planning || now_us < state->next_plan_check_us
       || control->config->rules.placement != CFG_PLACEMENT_AUTOMATIC
       || !ctl_load_reports_complete (control))
     {
       return;
     }
-  state->next_check_us = now_us + PLAN_CHECK_US;
+  state->next_plan_check_us = now_us + PLAN_CHECK_INTERVAL_US;
   bool *usable = list_usable (control);
-  if (!plan_is_due (control, usable, now_us))
+  if (!needs_planning (control, usable, now_us))
     {
       g_free (usable);
       return;
     }
   state->planning = true;
-  state->changed_us = 0;
+  state->usable_changed_us = 0;
   state->planned_version = control->config->version;
   state->planned_hosts = control->config->host_count;
   g_free (state->planned_usable);
@@ -339,12 +363,13 @@
     .control = control,
     .config = cfg_config_ref (control->config),
     .usable = usable,
-    .current = read_current (control),
+    .current = get_current_placement (control),
   };
   g_thread_pool_push (state->planner, job, NULL);
 }
 
-/* Seeks, renews and uses the lease.  */
+/* Acquires or renews the lease, and while this daemon holds it, plans and
+   sends orders.  Called periodically.  */
 void
 ctl_orders_tick (struct ctl_control *control)
 {
@@ -359,7 +384,7 @@
   if (held && control->config != NULL && now_us >= state->next_order_us)
     {
       state->next_order_us = now_us + ORDER_INTERVAL_US;
-      plan_if_due (control, now_us);
+      start_planning_if_due (control, now_us);
       ord_tick (state->orders, now_us, control->actions);
     }
   if (!held)
@@ -369,7 +394,8 @@
   ctl_perform_actions (control);
 }
 
-/* Returns the lease machine, for the log's events.  */
+/* Returns the state machine of the lease, to which the log's records and
+   append results are passed.  */
 struct lse *
 ctl_lease (struct ctl_control *control)
 {
--- a/src/daemon/control_orders.h
+++ b/src/daemon/control_orders.h
@@ -1,4 +1,7 @@
-/* Orders to engines, by the daemon that holds the lease. */
+/* Placement of layer ranges on engines: acquires the lease (core/lease.h), and
+   while this daemon holds it, plans the placement in the background and sends
+   the orders (core/orders.h) that lead to it.  All functions are called on the
+   control thread, or while it does not run. */
 #ifndef DAEMON_CONTROL_ORDERS_H
 #define DAEMON_CONTROL_ORDERS_H
 
