--- a/src/daemon/control_peers.c
+++ b/src/daemon/control_peers.c
@@ -5,8 +5,8 @@
 
 #include <string.h>
 
-/* A reader that has read nothing for so long doesn't reach the log. */
-#define LOG_REACH_US (3 * CLK_S_US)
+/* Time after the last successful read until the log counts as unreachable. */
+#define LOG_UNREACHABLE_AFTER_US (3 * CLK_S_US)
 
 static void
 send_envelope (struct ctl_control *control, const char *address,
@@ -15,8 +15,10 @@
   peer_hub_send (control->hub, address, envelope);
 }
 
+/* Asks the peer at ADDRESS for its configuration, if that is newer than this
+   daemon's.  */
 static void
-ask_for_config (struct ctl_control *control, const char *address)
+request_config (struct ctl_control *control, const char *address)
 {
   Peer__ConfigRequest request = PEER__CONFIG_REQUEST__INIT;
   Peer__Envelope envelope = PEER__ENVELOPE__INIT;
@@ -26,6 +28,8 @@
   send_envelope (control, address, &envelope);
 }
 
+/* Sends the current configuration to ADDRESS, if it is newer than the version
+   that REQUEST names.  */
 static void
 answer_config_request (struct ctl_control *control, const char *address,
                        const Peer__ConfigRequest *request)
@@ -48,7 +52,8 @@
 }
 
 static void
-take_config_reply (struct ctl_control *control, const Peer__ConfigReply *reply)
+handle_config_reply (struct ctl_control *control,
+                     const Peer__ConfigReply *reply)
 {
   GBytes *yaml = g_bytes_new (reply->yaml.data, reply->yaml.len);
   cst_peer_config (control->config_state, reply->version, yaml,
@@ -57,7 +62,8 @@
   ctl_perform_actions (control);
 }
 
-/* Returns the number of this daemon among those that are alive, by name.  */
+/* Returns the rank of this daemon, counted from 0, among the daemons that are
+   alive or suspected, ordered by name.  */
 uint32_t
 ctl_own_rank (const struct ctl_control *control)
 {
@@ -75,9 +81,10 @@
   return rank;
 }
 
-/* Shares limits and appends by the daemons that there are now.  */
+/* Updates the numbers of daemons, by which the admission limits and the log
+   appends are divided, and this daemon's rank.  */
 static void
-count_daemons (struct ctl_control *control)
+update_daemon_counts (struct ctl_control *control)
 {
   uint32_t alive = MAX (mem_alive_count (control->members), 1);
   uint32_t rank = ctl_own_rank (control);
@@ -86,8 +93,11 @@
   cst_set_daemons (control->config_state, alive, rank);
 }
 
+/* Logs the new state of a member, tells the claims when the member died or
+   left, and updates the daemon counts.  */
 static void
-member_changed (struct ctl_control *control, const struct mem_action *action)
+handle_member_change (struct ctl_control *control,
+                      const struct mem_action *action)
 {
   static const char *const states[] = { [MBR_ALIVE] = "alive",
                                         [MBR_SUSPECT] = "suspect",
@@ -102,10 +112,12 @@
     {
       clm_holder_gone (control->claims, member->incarnation);
     }
-  count_daemons (control);
+  update_daemon_counts (control);
 }
 
-/* Puts the outcome of a sign in force here and tells it to the peers.  */
+/* Handles the OUTCOME of a sign that an endpoint is leaving, or isn't any
+   more: schedules a new view if the endpoint opened or closed to new work, and
+   tells the peers if they have to know.  */
 void
 ctl_apply_leaving_outcome (struct ctl_control *control,
                            const struct lv_outcome *outcome)
@@ -124,7 +136,7 @@
 }
 
 static void
-take_mark (struct ctl_control *control, const struct lv_mark *mark)
+apply_peer_mark (struct ctl_control *control, const struct lv_mark *mark)
 {
   struct lv_outcome outcome
       = lv_peer_says (control->leaving_hosts, mark, clk_monotonic_us ());
@@ -152,13 +164,13 @@
           send_membership (control, &action);
           break;
         case MEM_MEMBER_CHANGED:
-          member_changed (control, &action);
+          handle_member_change (control, &action);
           break;
         case MEM_MARK_LEARNT:
-          take_mark (control, &action.mark);
+          apply_peer_mark (control, &action.mark);
           break;
         case MEM_NEWER_CONFIG:
-          ask_for_config (control, action.address);
+          request_config (control, action.address);
           break;
         case MEM_NAME_CONFLICT:
           lg_line (LOG_ERR, "name-conflict", "name=%s address=%s", action.name,
@@ -170,8 +182,8 @@
 }
 
 static void
-on_message (void *user_data, const struct hsk_identity *sender,
-            const Peer__Envelope *envelope)
+handle_message (void *user_data, const struct hsk_identity *sender,
+                const Peer__Envelope *envelope)
 {
   struct ctl_control *control = user_data;
   int64_t now_us = clk_monotonic_us ();
@@ -187,7 +199,7 @@
                              envelope->config_request);
       break;
     case PEER__ENVELOPE__BODY_CONFIG_REPLY:
-      take_config_reply (control, envelope->config_reply);
+      handle_config_reply (control, envelope->config_reply);
       break;
     default:
       break;
@@ -195,8 +207,9 @@
   perform_member_actions (control);
 }
 
-/* Starts to listen for peers and to probe them.  Errors: ERR_SETTINGS when the
-   address cannot be listened on.  */
+/* Starts to listen for peers and creates the membership, with the seeds of the
+   settings as candidates.  Returns whether that worked.  Errors: ERR_SETTINGS
+   when the address cannot be listened on.  */
 bool
 ctl_peers_start (struct ctl_control *control, GError **error)
 {
@@ -207,7 +220,7 @@
     .secret = settings->peer_secret != NULL ? settings->peer_secret : "",
     .incarnation = control->incarnation,
   };
-  const struct peer_callbacks callbacks = { .on_message = on_message };
+  const struct peer_callbacks callbacks = { .on_message = handle_message };
   control->hub
       = peer_hub_create (control->context, &hub, &callbacks, control, error);
   if (control->hub == NULL)
@@ -228,7 +241,7 @@
   return true;
 }
 
-/* Tells the peers that this daemon leaves, and closes the connections.  */
+/* Frees the membership and closes the connections to peers.  */
 void
 ctl_peers_stop (struct ctl_control *control)
 {
@@ -237,7 +250,8 @@
   g_strfreev (control->peer_candidates);
 }
 
-/* Takes the daemons of the host list as further candidates.  */
+/* Sets the candidate addresses of peers to the seeds of the settings and the
+   daemons of the host LIST that are not leaving.  */
 void
 ctl_peers_update_candidates (struct ctl_control *control,
                              const struct hl_list *list)
@@ -262,12 +276,14 @@
                       (const char *const *)control->peer_candidates);
 }
 
-/* Tells the peers this daemon's state and does what is due.  */
+/* Passes this daemon's state on to the membership, which tells the peers, and
+   sends the messages that are due.  Called periodically.  */
 void
 ctl_peers_tick (struct ctl_control *control)
 {
   int64_t now_us = clk_monotonic_us ();
-  bool reaches_log = now_us - control->last_log_read_us < LOG_REACH_US;
+  bool reaches_log
+      = now_us - control->last_log_read_us < LOG_UNREACHABLE_AFTER_US;
   if (control->stopping && !control->leave_announced)
     {
       control->leave_announced = true;
@@ -285,6 +301,6 @@
   perform_member_actions (control);
   if (control->ready_daemons != MAX (mem_ready_count (control->members), 1))
     {
-      count_daemons (control);
+      update_daemon_counts (control);
     }
 }
--- a/src/daemon/control_peers.h
+++ b/src/daemon/control_peers.h
@@ -1,5 +1,7 @@
-/* The other daemons: membership, leaving marks and copies of the
-   configuration. */
+/* The other daemons: connects the membership state machine (core/membership.h)
+   to the network, and exchanges marks of leaving endpoints and copies of the
+   configuration with peers.  All functions are called on the control thread,
+   or while it does not run. */
 #ifndef DAEMON_CONTROL_PEERS_H
 #define DAEMON_CONTROL_PEERS_H
 
