--- a/src/daemon/control_endpoints.c
+++ b/src/daemon/control_endpoints.c
@@ -127,7 +127,7 @@
 ctl_poller_callbacks (void)
 {
   return (struct pol_callbacks){ .on_load = post_load,
-                                 .on_list = post_host_list };
+                                 .on_host_list = post_host_list };
 }
 
 /* Returns the endpoint of HOST, an index in the configuration.  */
--- a/src/daemon/poller.c
+++ b/src/daemon/poller.c
@@ -6,16 +6,20 @@
 #include <stdatomic.h>
 
 #define LOAD_THREADS 8
-#define LIST_INTERVAL_US CLK_S_US
-#define STOP_CHECK_US (100 * CLK_MS_US)
+
+/* Between two reads of the host list. */
+#define HOST_LIST_INTERVAL_US CLK_S_US
+
+/* How often the host list thread checks whether it has to stop. */
+#define STOP_CHECK_INTERVAL_US (100 * CLK_MS_US)
 
 struct pol_poller
 {
   struct pol_callbacks callbacks;
   void *user_data;
-  struct con_pool *list_pool; /* NULL: no host list */
-  GThreadPool *load_pool;
-  pthread_t list_thread;
+  struct con_pool *host_list_pool; /* NULL: no host list */
+  GThreadPool *load_threads;
+  pthread_t host_list_thread;
   _Atomic bool stopping;
 };
 
@@ -30,7 +34,7 @@
 }
 
 static void *
-run_list_thread (void *user_data)
+run_host_list_thread (void *user_data)
 {
   struct pol_poller *poller = user_data;
   uint64_t version = 0;
@@ -39,24 +43,25 @@
     {
       if (clk_monotonic_us () < next_us)
         {
-          g_usleep (STOP_CHECK_US);
+          g_usleep (STOP_CHECK_INTERVAL_US);
           continue;
         }
       struct hl_list list;
       bool changed;
-      hl_get (poller->list_pool, version, &list, &changed);
+      hl_get (poller->host_list_pool, version, &list, &changed);
       if (changed)
         {
           version = list.version;
-          poller->callbacks.on_list (&list, poller->user_data);
+          poller->callbacks.on_host_list (&list, poller->user_data);
         }
       hl_clear (&list);
-      next_us = clk_monotonic_us () + LIST_INTERVAL_US;
+      next_us = clk_monotonic_us () + HOST_LIST_INTERVAL_US;
     }
   return NULL;
 }
 
-/* Starts the threads.  HOST_LIST_URL NULL: no list is polled.  */
+/* Starts the threads.  HOST_LIST_URL may be NULL, in which case no host list
+   is read.  */
 struct pol_poller *
 pol_create (const char *host_list_url, const struct pol_callbacks *callbacks,
             void *user_data)
@@ -64,17 +69,19 @@
   struct pol_poller *poller = g_new0 (struct pol_poller, 1);
   poller->callbacks = *callbacks;
   poller->user_data = user_data;
-  poller->load_pool
+  poller->load_threads
       = g_thread_pool_new (poll_load, poller, LOAD_THREADS, TRUE, NULL);
   if (host_list_url != NULL)
     {
-      poller->list_pool = con_pool_create (host_list_url);
-      pthread_create (&poller->list_thread, NULL, run_list_thread, poller);
+      poller->host_list_pool = con_pool_create (host_list_url);
+      pthread_create (&poller->host_list_thread, NULL, run_host_list_thread,
+                      poller);
     }
   return poller;
 }
 
-/* Ends the threads and frees POLLER.  */
+/* Stops the threads, waits for the polls in progress and frees POLLER, which
+   may be NULL.  */
 void
 pol_destroy (struct pol_poller *poller)
 {
@@ -83,18 +90,19 @@
       return;
     }
   atomic_store (&poller->stopping, true);
-  g_thread_pool_free (poller->load_pool, FALSE, TRUE);
-  if (poller->list_pool != NULL)
+  g_thread_pool_free (poller->load_threads, FALSE, TRUE);
+  if (poller->host_list_pool != NULL)
     {
-      pthread_join (poller->list_thread, NULL);
-      con_pool_destroy (poller->list_pool);
+      pthread_join (poller->host_list_thread, NULL);
+      con_pool_destroy (poller->host_list_pool);
     }
   g_free (poller);
 }
 
-/* Has the load report of ENDPOINT read; it comes by on_load.  */
+/* Queues a read of ENDPOINT's load report and returns at once; on_load reports
+   the result.  Thread-safe.  */
 void
 pol_poll_load (struct pol_poller *poller, struct ept_endpoint *endpoint)
 {
-  g_thread_pool_push (poller->load_pool, endpoint, NULL);
+  g_thread_pool_push (poller->load_threads, endpoint, NULL);
 }
