--- a/src/daemon/poller.c
+++ b/src/daemon/poller.c
@@ -80,8 +80,8 @@
   return poller;
 }
 
-/* Stops the threads, waits for the polls in progress and frees POLLER, which
-   may be NULL.  */
+/* Waits for the queued polls, stops the threads and frees POLLER, which may be
+   NULL.  */
 void
 pol_destroy (struct pol_poller *poller)
 {
