--- a/src/daemon/metrics.c
+++ b/src/daemon/metrics.c
@@ -2,6 +2,7 @@
 
 #include <stddef.h>
 
+/* One entry for each member of struct met_metrics. */
 static const struct
 {
   size_t offset; /* in struct met_metrics */
@@ -10,35 +11,37 @@
   const char *help;
 } definitions[] = {
   { offsetof (struct met_metrics, tokens), CNT_COUNTER,
-    "kumquatthread_tokens_total", "Tokens given to callers" },
+    "kumquatthread_tokens_total", "Tokens sent to callers" },
   { offsetof (struct met_metrics, attempts), CNT_COUNTER,
-    "kumquatthread_attempts_total", "Chains that drafts were run over" },
+    "kumquatthread_attempts_total",
+    "Attempts to run drafts, each over one chain of engines" },
   { offsetof (struct met_metrics, steps), CNT_COUNTER,
     "kumquatthread_steps_total", "Steps sent to engines" },
   { offsetof (struct met_metrics, steps_failed), CNT_COUNTER,
-    "kumquatthread_steps_failed_total", "Steps that were not answered well" },
+    "kumquatthread_steps_failed_total",
+    "Steps that failed or were not answered in time" },
   { offsetof (struct met_metrics, streams), CNT_GAUGE, "kumquatthread_streams",
-    "Streams under way" },
+    "Streams in progress" },
   { offsetof (struct met_metrics, queued), CNT_GAUGE, "kumquatthread_queued",
-    "Requests in the queue" },
+    "Requests in the admission queue" },
   { offsetof (struct met_metrics, stream_limit), CNT_GAUGE,
-    "kumquatthread_stream_limit", "Bound on streams under way" },
+    "kumquatthread_stream_limit", "Limit on streams in progress" },
   { offsetof (struct met_metrics, capacity), CNT_GAUGE,
     "kumquatthread_capacity_tokens_per_second",
-    "Bound of the placement that engines report, for the whole fleet" },
+    "Capacity of the placement that engines report, for the whole fleet" },
   { offsetof (struct met_metrics, config_version), CNT_GAUGE,
     "kumquatthread_config_version", "Version of the configuration in force" },
   { offsetof (struct met_metrics, daemons_ready), CNT_GAUGE,
-    "kumquatthread_daemons_ready", "Ready daemons known here" },
+    "kumquatthread_daemons_ready", "Ready daemons known to this daemon" },
   { offsetof (struct met_metrics, ready), CNT_GAUGE, "kumquatthread_ready",
-    "1 when the balancer may send requests" },
+    "1 when the load balancer may send requests to this daemon, else 0" },
   { offsetof (struct met_metrics, claims_active), CNT_GAUGE,
-    "kumquatthread_claims_active", "Claims of this daemon not settled yet" },
+    "kumquatthread_claims_active", "Claims of this daemon in progress" },
   { offsetof (struct met_metrics, keys), CNT_GAUGE, "kumquatthread_keys",
-    "Idempotency keys known here" },
+    "Idempotency keys known to this daemon" },
 };
 
-/* Creates every series in SET, which outlives the result.  */
+/* Registers the series in SET, which must outlive the result.  */
 struct met_metrics *
 met_create (struct cnt_set *set)
 {
@@ -54,7 +57,7 @@
   return metrics;
 }
 
-/* Frees METRICS; the series stay with their set.  */
+/* Frees METRICS; the series still belong to their set.  */
 void
 met_destroy (struct met_metrics *metrics)
 {
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -1,4 +1,5 @@
-/* The counters and gauges of one daemon. */
+/* The counters and gauges that a daemon exports, except for those of its HTTP
+   servers. */
 #ifndef DAEMON_METRICS_H
 #define DAEMON_METRICS_H
 
