--- a/src/daemon/operator_backend.c
+++ b/src/daemon/operator_backend.c
@@ -6,12 +6,13 @@
 #include "daemon/control_keyed.h"
 #include "daemon/control_private.h"
 
-/* A question that the control thread answers with JSON. */
-struct question
+/* Data of the task build_status. */
+struct status_query
 {
-  json_t *answer;
+  json_t *json;
 };
 
+/* Returns the status of HOST's endpoint.  Called on the control thread.  */
 static json_t *
 endpoint_to_json (struct ctl_control *control, const struct cfg_host *host)
 {
@@ -39,9 +40,9 @@
 }
 
 static void
-answer_status (struct ctl_control *control, void *data)
+build_status (struct ctl_control *control, void *data)
 {
-  struct question *question = data;
+  struct status_query *query = data;
   const struct cfg_config *config = control->config;
   struct clm_stats claims = clm_stats (control->claims);
   struct adm_state admission;
@@ -52,7 +53,7 @@
       json_array_append_new (hosts,
                              endpoint_to_json (control, &config->hosts[i]));
     }
-  question->answer = json_pack (
+  query->json = json_pack (
       "{s:s, s:b, s:b, s:I, s:{s:i, s:i, s:i, s:I, s:f}, "
       "s:{s:b, s:i, s:i, s:i, s:I}, s:o}",
       "daemon", control->params.settings->name, "ready", ctl_ready (control),
@@ -70,9 +71,9 @@
 static json_t *
 status (void *user_data)
 {
-  struct question question = { .answer = NULL };
-  ctl_call (user_data, answer_status, &question);
-  return question.answer;
+  struct status_query query = { .json = NULL };
+  ctl_call (user_data, build_status, &query);
+  return query.json;
 }
 
 static bool
--- a/src/daemon/operator_backend.h
+++ b/src/daemon/operator_backend.h
@@ -1,4 +1,6 @@
-/* What the daemon gives to operators; its user data is the control. */
+/* Connects the HTTP server for operators to the control thread: implements its
+   table of callbacks, struct opr_backend.  The user data of the callbacks is a
+   struct ctl_control. */
 #ifndef DAEMON_OPERATOR_BACKEND_H
 #define DAEMON_OPERATOR_BACKEND_H
 
