--- a/src/daemon/draft.c
+++ b/src/daemon/draft.c
@@ -10,13 +10,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A rough count of the positions of a prompt; the engine knows the true one.
- */
+/* For estimating the number of positions of a prompt, which only the engine
+   knows exactly. */
 #define BYTES_PER_POSITION 4
-#define PREFILL_SILENCE_MAX_US (3 * CLK_S_US)
-#define PREFILL_POSITIONS_PER_BOUND 32
 
-/* One draft under way. */
+#define PREFILL_TIMEOUT_MAX_US (3 * CLK_S_US)
+
+/* A prefill gets the timeout of one step, plus as much again for every 32
+   positions. */
+#define PREFILL_POSITIONS_PER_TIMEOUT 32
+
+/* A draft in progress. */
 struct run
 {
   const struct dft_env *env;
@@ -27,9 +31,11 @@
   void *user_data;
 };
 
-/* Feeds EVENT with the view in force at this moment.  */
+/* Passes EVENT to the request state machine, with the current time and view,
+   and sets ACTION to what has to be done next.  */
 static void
-feed (struct run *run, struct req_event *event, struct req_action *action)
+feed_event (struct run *run, struct req_event *event,
+            struct req_action *action)
 {
   event->now_us = clk_monotonic_us ();
   const struct vw_view *view = vw_read_begin (run->env->views);
@@ -39,43 +45,44 @@
 }
 
 static uint32_t
-prompt_positions (const struct dft_draft *draft)
+estimate_prompt_positions (const struct dft_draft *draft)
 {
   return (uint32_t)(strlen (draft->prompt) / BYTES_PER_POSITION) + 1;
 }
 
-/* Returns how long to wait for the answer of a step.  A prefill of many
-   positions takes longer than the steps that the bound was drawn from.  */
+/* Returns how long to wait for the answer to a step: until the deadline of the
+   draft at most, but 1 ms or more.  The endpoint's bound comes from steps of
+   one position; step 0, a prefill of many positions, gets a higher one.  */
 static int64_t
 step_timeout_us (struct run *run, const struct req_stage *stage, uint32_t step,
                  int64_t now_us)
 {
-  int64_t bound_us = ld_silence_bound_us (stage->load);
+  int64_t timeout_us = ld_silence_bound_us (stage->load);
   if (step == 0)
     {
       uint32_t delivered = 0;
       req_tokens (run->machine, &delivered);
-      uint32_t positions = prompt_positions (run->draft) + delivered;
-      bound_us *= 1 + positions / PREFILL_POSITIONS_PER_BOUND;
-      bound_us = MIN (bound_us, PREFILL_SILENCE_MAX_US);
+      uint32_t positions = estimate_prompt_positions (run->draft) + delivered;
+      timeout_us *= 1 + positions / PREFILL_POSITIONS_PER_TIMEOUT;
+      timeout_us = MIN (timeout_us, PREFILL_TIMEOUT_MAX_US);
     }
   int64_t left_us = run->draft->deadline_us - now_us;
-  return MAX (MIN (bound_us, left_us), CLK_MS_US);
+  return MAX (MIN (timeout_us, left_us), CLK_MS_US);
 }
 
-/* Counts an answered step.  A prefill says nothing of the time of a later
-   step.  */
+/* Records an answered step in LOAD.  The time of a prefill isn't recorded,
+   since it says nothing about the time of later steps.  */
 static void
-count_step_done (struct ld_load *load, const struct req_action *action,
-                 const struct eng_step_answer *answer, int64_t step_us)
+record_step_done (struct ld_load *load, const struct req_action *action,
+                  const struct eng_step_answer *answer, int64_t step_us)
 {
   int64_t now_us = clk_monotonic_us ();
   ld_step_done (load, action->step > 0 ? step_us : 0, now_us);
   ld_report (load, answer->running, answer->queued, answer->leaving, now_us);
 }
 
-/* Sends the step that ACTION asks for, keeps the endpoint's counters and sets
-   EVENT to the result.  */
+/* Sends the step that ACTION asks for and waits for its answer.  Updates the
+   endpoint's counters, and on failure sets the fields of EVENT about it.  */
 static void
 send_step (struct run *run, const struct req_action *action,
            struct eng_step_answer *answer, struct req_event *event)
@@ -103,14 +110,14 @@
   int64_t now_us = clk_monotonic_us ();
   if (event->error == ERR_NONE)
     {
-      count_step_done (stage->load, action, answer, now_us - sent_us);
+      record_step_done (stage->load, action, answer, now_us - sent_us);
       return;
     }
   cnt_add (run->env->metrics->steps_failed, 1);
-  bool connection = event->error == ERR_ENDPOINT_SILENT
-                    || event->error == ERR_ENDPOINT_FAILED;
-  event->endpoint_alive = connection && eng_is_alive (endpoint->pool);
-  if (connection)
+  bool connection_failed = event->error == ERR_ENDPOINT_SILENT
+                           || event->error == ERR_ENDPOINT_FAILED;
+  event->endpoint_alive = connection_failed && eng_is_alive (endpoint->pool);
+  if (connection_failed)
     {
       ld_set_reachable (stage->load, event->endpoint_alive);
     }
@@ -134,8 +141,9 @@
            (long)(now_us - sent_us));
 }
 
+/* Tells the engines that ACTION lists to drop its cancelled attempt.  */
 static void
-cancel_engines (struct run *run, const struct req_action *action)
+cancel_attempt_on_engines (struct run *run, const struct req_action *action)
 {
   for (uint32_t i = 0; i < action->cancelled_count; i++)
     {
@@ -146,9 +154,10 @@
     }
 }
 
-/* Counts the streams of a chain that was just chosen.  */
+/* If ACTION is the first step of a new attempt, records the chain of the
+   attempt in the result and counts the stream at its endpoints.  */
 static void
-count_new_chain (struct run *run, const struct req_action *action)
+record_new_chain (struct run *run, const struct req_action *action)
 {
   if (action->kind != REQ_ACTION_SEND_STEP || action->step != 0
       || action->stage != 0 || action->new_connection)
@@ -166,7 +175,9 @@
     }
 }
 
-/* Performs a step and feeds its result.  Sets ACTION to what comes next.  */
+/* Sends the step that ACTION asks for, passes its result to the state machine,
+   and the token, if there is one, to the callback.  Sets ACTION to what has to
+   be done next.  */
 static void
 perform_step (struct run *run, struct req_action *action)
 {
@@ -182,7 +193,7 @@
   event.activation = answer.activation != NULL ? answer.activation : "";
   event.token = answer.token;
   event.end = answer.end;
-  feed (run, &event, action);
+  feed_event (run, &event, action);
   if (action->emit)
     {
       run->result->tokens++;
@@ -192,23 +203,25 @@
           && action->kind != REQ_ACTION_FINISH)
         {
           struct req_event gone = { .kind = REQ_EVENT_CALLER_GONE };
-          feed (run, &gone, action);
+          feed_event (run, &gone, action);
         }
     }
   eng_step_answer_clear (&answer);
 }
 
-/* Runs DRAFT to its end, calling ON_TOKEN for each token in order.  RESULT's
-   path is freed by the caller.  Errors in RESULT: as req_feed.  */
+/* Runs DRAFT until it is complete or has failed, calling ON_TOKEN for each
+   token in order.  Blocks for that time.  The path of RESULT is freed by the
+   caller.  Errors in RESULT: those of req_feed.  */
 void
 dft_run (const struct dft_env *env, const struct dft_draft *draft,
          dft_on_token on_token, void *user_data, struct dft_run_result *result)
 {
   *result = (struct dft_run_result){ .path = g_string_new (NULL) };
   struct req_params params = {
-    .prompt_positions = prompt_positions (draft),
+    .prompt_positions = estimate_prompt_positions (draft),
     .max_tokens = draft->max_tokens,
     .priority = draft->priority,
+    /* Drafts with the same first 256 bytes share a prefix. */
     .prefix_hash = XXH64 (draft->prompt, MIN (strlen (draft->prompt), 256), 0),
     .seed = XXH64 (draft->request_id, strlen (draft->request_id), 0),
     .deadline_us = draft->deadline_us,
@@ -223,11 +236,11 @@
   };
   struct req_event start = { .kind = REQ_EVENT_START };
   struct req_action action;
-  feed (&run, &start, &action);
+  feed_event (&run, &start, &action);
   while (action.kind != REQ_ACTION_FINISH)
     {
-      cancel_engines (&run, &action);
-      count_new_chain (&run, &action);
+      cancel_attempt_on_engines (&run, &action);
+      record_new_chain (&run, &action);
       if (action.kind == REQ_ACTION_WAIT)
         {
           struct req_event waited = {
@@ -235,12 +248,12 @@
             .retry_allowed = true,
           };
           g_usleep ((gulong)action.wait_us);
-          feed (&run, &waited, &action);
+          feed_event (&run, &waited, &action);
           continue;
         }
       perform_step (&run, &action);
     }
-  cancel_engines (&run, &action);
+  cancel_attempt_on_engines (&run, &action);
   result->error = action.error;
   req_destroy (run.machine);
 }
--- a/src/daemon/draft.h
+++ b/src/daemon/draft.h
@@ -1,5 +1,6 @@
-/* Runs one draft on the calling traffic thread: performs the actions of the
-   request machine. */
+/* Runs one draft, the generation of text by a model, on the calling traffic
+   thread: sends the steps that the request state machine (core/request.h) asks
+   for to engines, and passes their results back to it. */
 #ifndef DAEMON_DRAFT_H
 #define DAEMON_DRAFT_H
 
@@ -18,6 +19,7 @@
   int64_t deadline_us; /* monotonic */
 };
 
+/* The parts of the daemon that a draft uses. */
 struct dft_env
 {
   struct gt_gate *gate;
@@ -27,18 +29,20 @@
   struct can_canceller *canceller;
 };
 
-/* Takes one token.  Returns false when the caller has gone. */
+/* Called for each token, with its text and the monotonic time at which it was
+   received.  Returns false when the caller has gone. */
 typedef bool (*dft_on_token) (const char *text, int64_t now_us,
                               void *user_data);
 
 struct dft_run_result
 {
-  enum err_kind error;
-  uint32_t tokens;
+  enum err_kind error; /* ERR_NONE: the draft is complete */
+  uint32_t tokens;     /* passed to the callback */
   uint32_t attempts;
-  bool ended;                       /* the model finished before max_tokens */
-  char failed_host[CFG_NAME_BYTES]; /* the last that failed a step */
-  GString *path; /* hosts of the last chain; owned by the caller */
+  bool ended; /* the model ended the text, perhaps before max_tokens */
+  char failed_host[CFG_NAME_BYTES]; /* the last that failed a step; "": none */
+  GString *path; /* hosts of the last chain, comma-separated; owned by the
+                    caller */
 };
 
 void dft_run (const struct dft_env *env, const struct dft_draft *draft,
