--- a/src/daemon/backend.c
+++ b/src/daemon/backend.c
@@ -42,10 +42,9 @@
   return kind == ERR_NONE;
 }
 
-/* Checks DRAFT against the rules of the configuration in force, and fills the
-   model, prompt and max_tokens of OUT, with max_tokens limited by the rules.
-   FAILURE: ERR_NOT_FOUND for an unknown model, ERR_TOO_LARGE for the prompt.
-   */
+/* Checks DRAFT against the rules of the configuration in force, and sets the
+   model, prompt and max_tokens of OUT; max_tokens is limited by the rules.
+   FAILURE: ERR_NOT_FOUND for the model, ERR_TOO_LARGE for the prompt.  */
 static bool
 check_draft (struct bk_backend *backend, const struct cal_draft *draft,
              struct dft_draft *out, struct err_failure *failure)
--- a/src/daemon/draft.c
+++ b/src/daemon/draft.c
@@ -16,8 +16,8 @@
 
 #define PREFILL_TIMEOUT_MAX_US (3 * CLK_S_US)
 
-/* A prefill gets the timeout of one step, plus as much again for every 32
-   positions. */
+/* A prefill of N positions gets 1 + N / PREFILL_POSITIONS_PER_TIMEOUT times
+   the timeout of a step. */
 #define PREFILL_POSITIONS_PER_TIMEOUT 32
 
 /* A draft in progress. */
