--- a/src/daemon/service_call.c
+++ b/src/daemon/service_call.c
@@ -9,20 +9,26 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define LOOKUP_ATTEMPTS_MAX 3
-#define KEYED_DEADLINE_US (60 * CLK_S_US)
-#define SERVICE_TIMEOUT_US (10 * CLK_S_US)
-#define LOOKUP_TIMEOUT_US (2 * CLK_S_US)
+/* Of an idempotent call, and for one attempt of it. */
+#define IDEMPOTENT_ATTEMPTS_MAX 3
+#define IDEMPOTENT_TIMEOUT_US (2 * CLK_S_US)
 
-/* The endpoints that a call was sent to. */
-struct tried
+/* The longest wait of a call with a key for its claim. */
+#define KEYED_CLAIM_WAIT_MAX_US (60 * CLK_S_US)
+
+/* For sending a call with a key. */
+#define KEYED_TIMEOUT_US (10 * CLK_S_US)
+
+/* The endpoints that an idempotent call was sent to. */
+struct tried_endpoints
 {
-  struct ept_endpoint *endpoints[LOOKUP_ATTEMPTS_MAX];
+  struct ept_endpoint *endpoints[IDEMPOTENT_ATTEMPTS_MAX];
   uint32_t count;
 };
 
 static bool
-was_tried (const struct tried *tried, const struct ept_endpoint *endpoint)
+was_tried (const struct tried_endpoints *tried,
+           const struct ept_endpoint *endpoint)
 {
   for (uint32_t i = 0; i < tried->count; i++)
     {
@@ -34,10 +40,12 @@
   return false;
 }
 
-/* Returns how unwelcome more work is at ENDPOINT: failures first, then the
-   calls in flight.  */
+/* Returns the cost of ENDPOINT, by which the endpoint of a call is chosen:
+   failures in a row come first, then the calls in flight; a hash of SEED and
+   INDEX breaks ties.  */
 static int64_t
-cost_of (const struct snap_endpoint *endpoint, uint64_t seed, uint32_t index)
+endpoint_cost (const struct snap_endpoint *endpoint, uint64_t seed,
+               uint32_t index)
 {
   int64_t failures = endpoint->load->failures;
   int64_t in_flight = endpoint->load->steps_in_flight;
@@ -45,10 +53,11 @@
   return MIN (failures, 1000) * 1000000 + in_flight * 256 + (int64_t)tie;
 }
 
-/* Returns the endpoint of SERVICE that takes work and costs least, or NULL. */
+/* Returns the endpoint of SERVICE with the lowest cost among those that take
+   work and are not in TRIED, or NULL.  */
 static struct ept_endpoint *
 choose_endpoint (const struct snap *snap, uint32_t service,
-                 const struct tried *tried, uint64_t seed)
+                 const struct tried_endpoints *tried, uint64_t seed)
 {
   struct ept_endpoint *best = NULL;
   int64_t best_cost = INT64_MAX;
@@ -62,7 +71,7 @@
         {
           continue;
         }
-      int64_t cost = cost_of (endpoint, seed, i);
+      int64_t cost = endpoint_cost (endpoint, seed, i);
       if (cost < best_cost)
         {
           best = known;
@@ -72,9 +81,11 @@
   return best;
 }
 
+/* Chooses an endpoint of the named service in the current view, or returns
+   NULL.  */
 static struct ept_endpoint *
 find_endpoint (const struct sc_env *env, const char *service_name,
-               const struct tried *tried)
+               const struct tried_endpoints *tried)
 {
   struct ept_endpoint *endpoint = NULL;
   const struct vw_view *view = vw_read_begin (env->views);
@@ -87,10 +98,11 @@
   return endpoint;
 }
 
-/* Sets KNOWN and IDEMPOTENT for CALL by the service's list of calls.  */
+/* Sets KNOWN to whether the service of CALL is configured, and IDEMPOTENT to
+   whether CALL matches the service's list of idempotent calls.  */
 static void
-classify (const struct sc_env *env, const struct cal_service_call *call,
-          bool *known, bool *idempotent)
+classify_call (const struct sc_env *env, const struct cal_service_call *call,
+               bool *known, bool *idempotent)
 {
   const struct vw_view *view = vw_read_begin (env->views);
   uint32_t index = vw_find_index (view->service_by_name, call->service);
@@ -109,7 +121,9 @@
   vw_read_end ();
 }
 
-/* Sends CALL to ENDPOINT once and keeps its counters.  */
+/* Sends CALL to ENDPOINT once and waits for the answer, for TIMEOUT_US at most
+   and no longer than the deadline, but 1 ms or more.  Updates the counters of
+   ENDPOINT.  */
 static enum svc_result
 send_once (struct ept_endpoint *endpoint, const struct cal_terms *terms,
            const struct cal_service_call *call, int64_t timeout_us,
@@ -144,9 +158,9 @@
   return result;
 }
 
-/* Passes the service's own answer on; ANSWER owns the body afterwards.  */
+/* Moves the service's answer to ANSWER, which then owns the body.  */
 static void
-take_answer (struct con_answer *from, struct cal_service_answer *answer)
+move_answer (struct con_answer *from, struct cal_service_answer *answer)
 {
   answer->status = from->status;
   answer->body = g_steal_pointer (&from->body);
@@ -154,15 +168,16 @@
              sizeof answer->content_type);
 }
 
-/* Runs a call that may be repeated: a few endpoints in turn.  */
+/* Runs an idempotent call: sends it to one endpoint after another, until one
+   answers, the deadline passes or IDEMPOTENT_ATTEMPTS_MAX have failed.  */
 static bool
-run_lookup (const struct sc_env *env, const struct cal_terms *terms,
-            const struct cal_service_call *call,
-            struct cal_service_answer *answer, struct err_failure *failure)
+run_idempotent (const struct sc_env *env, const struct cal_terms *terms,
+                const struct cal_service_call *call,
+                struct cal_service_answer *answer, struct err_failure *failure)
 {
-  struct tried tried = { .count = 0 };
+  struct tried_endpoints tried = { .count = 0 };
   enum err_kind kind = ERR_NO_CAPACITY;
-  while (tried.count < LOOKUP_ATTEMPTS_MAX)
+  while (tried.count < IDEMPOTENT_ATTEMPTS_MAX)
     {
       struct ept_endpoint *endpoint
           = find_endpoint (env, call->service, &tried);
@@ -173,10 +188,10 @@
       struct con_answer got;
       tried.endpoints[tried.count++] = endpoint;
       enum svc_result result
-          = send_once (endpoint, terms, call, LOOKUP_TIMEOUT_US, &got);
+          = send_once (endpoint, terms, call, IDEMPOTENT_TIMEOUT_US, &got);
       if (result == SVC_ANSWERED)
         {
-          take_answer (&got, answer);
+          move_answer (&got, answer);
         }
       con_answer_clear (&got);
       if (result == SVC_ANSWERED)
@@ -194,7 +209,8 @@
   return false;
 }
 
-/* Returns a hash of what a repeat of CALL must have in common with it.  */
+/* Returns a hash of service, method, path and body, which are the same in
+   every repeat of CALL.  */
 static uint64_t
 hash_call (const struct cal_service_call *call)
 {
@@ -205,9 +221,10 @@
                             : seed;
 }
 
-/* Gives the answer that the claims machine has for the call.  */
+/* Turns the answer of the claims state machine into ANSWER, or into FAILURE
+   and a result of false.  */
 static bool
-give_claim_answer (const struct act_answer *claim,
+copy_claim_answer (const struct act_answer *claim,
                    struct cal_service_answer *answer,
                    struct err_failure *failure)
 {
@@ -228,14 +245,14 @@
   return true;
 }
 
-/* Sends the call whose claim this daemon holds, at most once, and tells the
-   claims machine how it ended.  */
+/* Sends the call whose claim this daemon holds, at most once, and reports the
+   result to the claims state machine.  */
 static void
 send_claimed (const struct sc_env *env, struct kc_call *claim,
               const struct cal_terms *terms,
               const struct cal_service_call *call)
 {
-  const struct tried none = { .count = 0 };
+  const struct tried_endpoints none = { .count = 0 };
   struct kc_result result
       = { .kind = KC_RESULT_NOT_RUN, .error = ERR_NO_CAPACITY };
   struct ept_endpoint *endpoint = find_endpoint (env, call->service, &none);
@@ -244,7 +261,7 @@
   if (endpoint != NULL && ctl_keyed_begin_send (env->control, claim))
     {
       enum svc_result sent
-          = send_once (endpoint, terms, call, SERVICE_TIMEOUT_US, &got);
+          = send_once (endpoint, terms, call, KEYED_TIMEOUT_US, &got);
       result.error = ERR_ENDPOINT_FAILED;
       result.kind
           = sent == SVC_NOT_RUN ? KC_RESULT_NOT_RUN : KC_RESULT_UNKNOWN;
@@ -263,8 +280,9 @@
   con_answer_clear (&got);
 }
 
-/* Runs a call that may not be repeated: claims its key, sends it at most once
-   and answers by what the log has of it.  */
+/* Runs a call with an idempotency key: claims the key, sends the call at most
+   once if the claim wins, and answers with the outcome that is recorded in the
+   log.  */
 static bool
 run_keyed (const struct sc_env *env, const struct cal_account *account,
            const struct cal_terms *terms, const struct cal_service_call *call,
@@ -273,9 +291,10 @@
   struct kc_call *claim
       = kc_create (env->call_id, account->name, call->key, hash_call (call));
   bool answered = false;
-  /* A claim may be settled by an operator once it is older than any call. */
-  int64_t until_us
-      = MIN (terms->deadline_us, clk_monotonic_us () + KEYED_DEADLINE_US);
+  /* Operators may settle a claim once it is older than any call can be, which
+     this limit ensures. */
+  int64_t until_us = MIN (terms->deadline_us,
+                          clk_monotonic_us () + KEYED_CLAIM_WAIT_MAX_US);
   ctl_keyed_request_claim (env->control, claim);
   enum kc_state state = kc_wait (claim, until_us);
   if (state == KC_DISPATCHED)
@@ -286,7 +305,7 @@
     }
   if (state == KC_ANSWERED)
     {
-      answered = give_claim_answer (&claim->answer, answer, failure);
+      answered = copy_claim_answer (&claim->answer, answer, failure);
     }
   else
     {
@@ -297,8 +316,11 @@
   return answered;
 }
 
-/* Runs CALL for ACCOUNT.  ANSWER's body is freed by the caller.  FAILURE: any
-   kind of a call to a service, with `ran' as far as it is known.  */
+/* Runs CALL for ACCOUNT.  Returns whether it was answered, in which case the
+   body of ANSWER is freed by the caller.  FAILURE: ERR_NOT_FOUND for an
+   unknown service, ERR_BAD_REQUEST for a missing key, ERR_NO_CAPACITY,
+   ERR_ENDPOINT_FAILED, ERR_DEADLINE_EXCEEDED, and the kinds of the claims
+   state machine; `ran' says whether the call ran, if that is known.  */
 bool
 sc_run (const struct sc_env *env, const struct cal_account *account,
         const struct cal_terms *terms, const struct cal_service_call *call,
@@ -306,28 +328,29 @@
 {
   bool known;
   bool idempotent;
-  classify (env, call, &known, &idempotent);
+  classify_call (env, call, &known, &idempotent);
   if (!known)
     {
-      err_fail (failure, ERR_NOT_FOUND, "no such service");
+      err_fail (failure, ERR_NOT_FOUND, "service: not in the configuration");
       return false;
     }
   if (idempotent)
     {
-      return run_lookup (env, terms, call, answer, failure);
+      return run_idempotent (env, terms, call, answer, failure);
     }
   if (call->key == NULL || call->key[0] == '\0')
     {
       err_fail (failure, ERR_BAD_REQUEST,
-                "Idempotency-Key: needed for a call that may not be repeated");
+                "Idempotency-Key: required for a call that isn't idempotent");
       return false;
     }
   return run_keyed (env, account, terms, call, answer, failure);
 }
 
-/* Sets OUTCOME to the JSON of what became of KEY of ACCOUNT.  FAILURE:
-   ERR_NOT_FOUND, with `ran' as far as this daemon's reading of the log can
-   tell: a key that it does not know may have run elsewhere.  */
+/* Sets OUTCOME to the recorded outcome of KEY of ACCOUNT as JSON text, freed
+   by the caller.  FAILURE: ERR_NOT_FOUND for an unknown key, with `ran' as far
+   as this daemon has read the log: a call with the key may have run at another
+   daemon.  */
 bool
 sc_lookup_key (struct ctl_control *control, const struct cal_account *account,
                const char *key, char **outcome, struct err_failure *failure)
@@ -335,7 +358,7 @@
   *outcome = ctl_keyed_lookup (control, account->name, key);
   if (*outcome == NULL)
     {
-      err_fail (failure, ERR_NOT_FOUND, "no such key of this account");
+      err_fail (failure, ERR_NOT_FOUND, "key: not known for this account");
       failure->ran = ctl_keyed_refusal_ran (control, account->name, key);
       return false;
     }
--- a/src/daemon/service_call.h
+++ b/src/daemon/service_call.h
@@ -1,10 +1,14 @@
-/* Runs one call of a plain service on the calling traffic thread. */
+/* Runs one call of a plain service on the calling traffic thread.  An
+   idempotent call is retried on other endpoints.  Any other call needs an
+   idempotency key, and is sent at most once, after the key has been claimed in
+   the log. */
 #ifndef DAEMON_SERVICE_CALL_H
 #define DAEMON_SERVICE_CALL_H
 
 #include "caller/caller.h"
 #include "daemon/control.h"
 
+/* The parts of the daemon that a call uses. */
 struct sc_env
 {
   struct ctl_control *control;
