--- a/src/daemon/view.c
+++ b/src/daemon/view.c
@@ -4,7 +4,7 @@
 
 struct vw_store
 {
-  struct vw_view *current; /* by rcu_dereference; NULL before the first */
+  struct vw_view *current; /* RCU-protected; NULL before the first */
 };
 
 /* Creates a store without a view.  */
@@ -31,7 +31,8 @@
   destroy_view (caa_container_of (head, struct vw_view, head));
 }
 
-/* Frees STORE and its view; no thread may read it any more.  */
+/* Frees STORE, which may be NULL, and its view, after views published earlier
+   are freed.  No thread may read a view any more.  */
 void
 vw_store_destroy (struct vw_store *store)
 {
@@ -47,10 +48,11 @@
   g_free (store);
 }
 
-/* Returns a table from the string at the start of each item to its index
-   + 1.  */
+/* Returns a table for vw_find_index from the string at the start of each of
+   the COUNT items, ITEM_BYTES apart, to the index of the item, plus 1 to tell
+   index 0 from NULL.  The table refers to the strings.  */
 static GHashTable *
-index_by_string (const char *items, size_t item_bytes, uint32_t count)
+create_index (const char *items, size_t item_bytes, uint32_t count)
 {
   GHashTable *table = g_hash_table_new (g_str_hash, g_str_equal);
   for (uint32_t i = 0; i < count; i++)
@@ -61,8 +63,8 @@
   return table;
 }
 
-/* Creates a view of CONFIG, which it owns from now on, with room for one
-   endpoint a host.  The caller fills `snap'.  */
+/* Creates a view of CONFIG, with one endpoint for each host, which the caller
+   fills in.  Takes over the caller's reference to CONFIG.  */
 struct vw_view *
 vw_view_create (struct cfg_config *config)
 {
@@ -76,19 +78,19 @@
     {
       accounts += offsetof (struct cfg_account, token_sha256);
     }
-  view->account_by_token = index_by_string (accounts, sizeof *config->accounts,
-                                            config->account_count);
+  view->account_by_token = create_index (accounts, sizeof *config->accounts,
+                                         config->account_count);
   view->model_by_name
-      = index_by_string ((const char *)config->models, sizeof *config->models,
-                         config->model_count);
+      = create_index ((const char *)config->models, sizeof *config->models,
+                      config->model_count);
   view->service_by_name
-      = index_by_string ((const char *)config->services,
-                         sizeof *config->services, config->service_count);
+      = create_index ((const char *)config->services, sizeof *config->services,
+                      config->service_count);
   return view;
 }
 
-/* Puts VIEW in place of the one in force, which is freed once no thread reads
-   it.  Called by the control thread only.  */
+/* Replaces the current view by VIEW.  The previous view is freed once no
+   thread reads it.  Called on the control thread only.  */
 void
 vw_publish (struct vw_store *store, struct vw_view *view)
 {
@@ -99,22 +101,24 @@
     }
 }
 
-/* Registers the calling thread as a reader.  */
+/* Registers the calling thread as a reader, which it must be before it calls
+   vw_read_begin.  */
 void
 vw_thread_register (void)
 {
   rcu_register_thread ();
 }
 
-/* Ends what vw_thread_register began.  */
+/* Unregisters the calling thread, which must call this before it ends.  */
 void
 vw_thread_unregister (void)
 {
   rcu_unregister_thread ();
 }
 
-/* Returns the view in force, or NULL before the first.  It stays valid until
-   vw_read_end, which must follow soon and in every case.  */
+/* Returns the current view, or NULL before the first.  The view stays valid
+   until vw_read_end, which must be called in either case, and soon, since no
+   replaced view is freed before.  */
 const struct vw_view *
 vw_read_begin (struct vw_store *store)
 {
@@ -122,17 +126,18 @@
   return rcu_dereference (store->current);
 }
 
-/* Ends the reading that vw_read_begin began.  */
+/* Ends the critical section that vw_read_begin began.  */
 void
 vw_read_end (void)
 {
   rcu_read_unlock ();
 }
 
-/* Returns the index that TABLE of a view has for NAME, or CFG_NO_INDEX.  */
+/* Returns the index in the configuration that TABLE of a view has for NAME, or
+   CFG_NO_INDEX.  */
 uint32_t
 vw_find_index (GHashTable *table, const char *name)
 {
-  guint stored = GPOINTER_TO_UINT (g_hash_table_lookup (table, name));
-  return stored == 0 ? CFG_NO_INDEX : stored - 1;
+  guint index_plus_1 = GPOINTER_TO_UINT (g_hash_table_lookup (table, name));
+  return index_plus_1 == 0 ? CFG_NO_INDEX : index_plus_1 - 1;
 }
--- a/src/daemon/view.h
+++ b/src/daemon/view.h
@@ -1,5 +1,8 @@
-/* The view that traffic threads read: the routing snapshot and its look-up
-   tables, published by the control thread with liburcu. */
+/* The view that traffic threads read without locks: the routing snapshot and
+   tables to look up accounts, models and services.  The control thread
+   publishes each new view by RCU (liburcu); the previous one is freed once no
+   thread reads it any more.  A published view doesn't change, except for the
+   load counters that its snapshot points to. */
 #ifndef DAEMON_VIEW_H
 #define DAEMON_VIEW_H
 
@@ -9,12 +12,14 @@
 #include <stdbool.h>
 #include <urcu.h>
 
+/* The tables are used with vw_find_index. */
 struct vw_view
 {
   struct snap snap;
-  GHashTable *account_by_token; /* SHA-256 in hexadecimal to index + 1 */
-  GHashTable *model_by_name;    /* to index + 1 */
-  GHashTable *service_by_name;  /* to index + 1 */
+  GHashTable *account_by_token; /* by the SHA-256 of the token, in lower-case
+                                   hexadecimal */
+  GHashTable *model_by_name;
+  GHashTable *service_by_name;
   struct rcu_head head;
 };
 
