--- a/src/daemon/keyed.h
+++ b/src/daemon/keyed.h
@@ -1,7 +1,7 @@
 /* A call with an idempotency key, shared by the traffic thread that sends the
    call and the control thread that holds the claims.  The traffic thread waits
-   with kc_wait; the control thread wakes it with kc_dispatch or kc_answer. All
-   functions are thread-safe. */
+   with kc_wait; the control thread wakes it with kc_dispatch or kc_answer.
+   All functions are thread-safe. */
 #ifndef DAEMON_KEYED_H
 #define DAEMON_KEYED_H
 
