--- a/test/service_call_test.c
+++ b/test/service_call_test.c
@@ -1,4 +1,4 @@
-/* Calls of plain services through a daemon's control thread. */
+/* Tests calls of plain services with a real control thread. */
 #include "daemon/service_call.h"
 
 #include <curl/curl.h>
@@ -8,7 +8,8 @@
 
 #include <cmocka.h>
 
-/* A daemon whose log answers nobody. */
+/* The parts of a daemon that cannot reach its log: nothing listens at the
+   address. */
 struct daemon_parts
 {
   struct set_settings settings;
@@ -58,10 +59,11 @@
   return 0;
 }
 
-/* A daemon that has not read the log cannot say that an unknown key was not
-   run: another daemon may have run it.  */
+/* Guards against the answer that a call was not run when another daemon may
+   have run it: a daemon that has not read the log does not know the key, and
+   so has to answer that it is unknown whether the call ran.  */
 static void
-unknown_key_without_the_log_may_have_run (void **state)
+unknown_key_without_log_may_have_run (void **state)
 {
   struct daemon_parts *parts = *state;
   const struct cal_account account = { .name = "clerks" };
@@ -78,7 +80,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (unknown_key_without_the_log_may_have_run),
+    cmocka_unit_test (unknown_key_without_log_may_have_run),
   };
   return cmocka_run_group_tests (tests, set_up, tear_down);
 }
