--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -40,7 +40,7 @@
   bool done;
 };
 
-/* Returns a request identifier that is unique in this daemon.  Thread-safe. */
+/* Returns a request id that is unique in this daemon.  Thread-safe.  */
 uint64_t
 ctl_new_id (struct ctl_control *control)
 {
