--- a/src/daemon/control_burn.c
+++ b/src/daemon/control_burn.c
@@ -8,7 +8,7 @@
 
 #define READ_PAGE_RECORDS_MAX 256
 
-/* Of one report. */
+/* Limits the pages that are read from the log for one report. */
 #define READ_PAGES_MAX 4096
 
 /* Returns the name of HOST's data centre, or "" for an unknown host.  */
--- a/src/daemon/control_orders.c
+++ b/src/daemon/control_orders.c
@@ -308,7 +308,7 @@
 
 /* Returns whether the placement has to be planned again: at once for a new
    configuration, and after REPLAN_DELAY_US when hosts have become usable or
-   unusable.  */
+   unusable.  Records since when they have differed.  */
 static bool
 needs_planning (struct ctl_control *control, const bool *usable,
                 int64_t now_us)
--- a/src/daemon/control_peers.c
+++ b/src/daemon/control_peers.c
@@ -115,9 +115,9 @@
   update_daemon_counts (control);
 }
 
-/* Handles the OUTCOME of a sign that an endpoint is leaving, or isn't any
-   more: schedules a new view if the endpoint opened or closed to new work, and
-   tells the peers if they have to know.  */
+/* Applies the OUTCOME of a sign that an endpoint is leaving or has come back:
+   schedules a new view when the endpoint opened or closed to new work, and has
+   the mark sent to the peers when it is news to them.  */
 void
 ctl_apply_leaving_outcome (struct ctl_control *control,
                            const struct lv_outcome *outcome)
