--- a/src/daemon/operator_backend.c
+++ b/src/daemon/operator_backend.c
@@ -6,19 +6,20 @@
 #include "daemon/control_keyed.h"
 #include "daemon/control_private.h"
 
-/* A question that the control thread answers with JSON. */
-struct question
+/* Data of the task build_status. */
+struct status_query
 {
-  json_t *answer;
+  json_t *json;
 };
 
+/* Returns the status of HOST's endpoint.  Called on the control thread.  */
 static json_t *
 endpoint_to_json (struct ctl_control *control, const struct cfg_host *host)
 {
   struct ept_endpoint *endpoint
       = ept_get (control->endpoints, host->name, host->address);
   const struct eng_load *load
-      = g_hash_table_lookup (control->reports, endpoint);
+      = g_hash_table_lookup (control->load_reports, endpoint);
   json_t *ranges = json_array ();
   for (uint32_t i = 0; load != NULL && i < load->range_count; i++)
     {
@@ -28,7 +29,7 @@
                              (int)range->first, "end", (int)range->end));
     }
   bool takes_work
-      = !host->draining && lv_takes_work (control->leaving, host->name);
+      = !host->draining && lv_takes_work (control->leaving_hosts, host->name);
   return json_pack ("{s:s, s:s, s:b, s:b, s:i, s:i, s:i, s:I, s:o}", "host",
                     host->name, "address", host->address, "takes_work",
                     takes_work, "reported", load != NULL, "streams",
@@ -39,9 +40,9 @@
 }
 
 static void
-answer_status (struct ctl_control *control, void *data)
+build_status (struct ctl_control *control, void *data)
 {
-  struct question *question = data;
+  struct status_query *query = data;
   const struct cfg_config *config = control->config;
   struct clm_stats claims = clm_stats (control->claims);
   struct adm_state admission;
@@ -52,7 +53,7 @@
       json_array_append_new (hosts,
                              endpoint_to_json (control, &config->hosts[i]));
     }
-  question->answer = json_pack (
+  query->json = json_pack (
       "{s:s, s:b, s:b, s:I, s:{s:i, s:i, s:i, s:I, s:f}, "
       "s:{s:b, s:i, s:i, s:i, s:I}, s:o}",
       "daemon", control->params.settings->name, "ready", ctl_ready (control),
@@ -70,9 +71,9 @@
 static json_t *
 status (void *user_data)
 {
-  struct question question = { .answer = NULL };
-  ctl_call (user_data, answer_status, &question);
-  return question.answer;
+  struct status_query query = { .json = NULL };
+  ctl_call (user_data, build_status, &query);
+  return query.json;
 }
 
 static bool
