--- a/src/daemon/backend.c
+++ b/src/daemon/backend.c
@@ -56,13 +56,12 @@
   vw_read_end ();
   if (!known)
     {
-      err_fail (failure, ERR_NOT_FOUND, "model: not in the configuration");
+      err_fail (failure, ERR_NOT_FOUND, "model: no such model");
       return false;
     }
   if (strlen (draft->prompt) > rules.prompt_bytes)
     {
-      err_fail (failure, ERR_TOO_LARGE,
-                "prompt: longer than the configured limit");
+      err_fail (failure, ERR_TOO_LARGE, "the prompt is too long");
       return false;
     }
   out->model = draft->model;
--- a/src/daemon/service_call.c
+++ b/src/daemon/service_call.c
@@ -331,7 +331,7 @@
   classify_call (env, call, &known, &idempotent);
   if (!known)
     {
-      err_fail (failure, ERR_NOT_FOUND, "service: not in the configuration");
+      err_fail (failure, ERR_NOT_FOUND, "no such service");
       return false;
     }
   if (idempotent)
@@ -341,7 +341,7 @@
   if (call->key == NULL || call->key[0] == '\0')
     {
       err_fail (failure, ERR_BAD_REQUEST,
-                "Idempotency-Key: required for a call that isn't idempotent");
+                "Idempotency-Key: needed for a call that may not be repeated");
       return false;
     }
   return run_keyed (env, account, terms, call, answer, failure);
@@ -358,7 +358,7 @@
   *outcome = ctl_keyed_lookup (control, account->name, key);
   if (*outcome == NULL)
     {
-      err_fail (failure, ERR_NOT_FOUND, "key: not known for this account");
+      err_fail (failure, ERR_NOT_FOUND, "no such key of this account");
       failure->ran = ctl_keyed_refusal_ran (control, account->name, key);
       return false;
     }
