--- a/src/caller/chat.c
+++ b/src/caller/chat.c
@@ -4,23 +4,24 @@
 
 #include <string.h>
 
-/* One answer under way. */
-struct answer
+/* A response that is being sent. */
+struct response
 {
   struct mg_connection *connection;
   const struct cal_draft *draft;
   const struct cal_terms *terms;
   int64_t created_s;
-  bool started;  /* the head of a streamed answer is out */
-  GString *text; /* of an answer that is not streamed */
+  bool started;  /* the headers of a streamed response have been sent */
+  GString *text; /* generated so far; unused by a streamed response */
 };
 
-/* Returns the JSON of one streamed event, owned by the caller.  */
+/* Returns the JSON of one streamed event, owned by the caller.  TEXT and
+   FINISH_REASON may be NULL.  */
 static char *
-event_json (const struct answer *answer, const char *text,
+event_json (const struct response *response, const char *text,
             const char *finish_reason)
 {
-  bool chat = answer->draft->chat;
+  bool chat = response->draft->chat;
   json_t *choice
       = json_pack ("{s:i, s:s?}", "index", 0, "finish_reason", finish_reason);
   if (chat)
@@ -35,56 +36,58 @@
                            json_string (text != NULL ? text : ""));
     }
   json_t *event = json_pack (
-      "{s:s, s:s, s:I, s:s, s:[o]}", "id", answer->terms->request_id, "object",
-      chat ? "chat.completion.chunk" : "text_completion", "created",
-      (json_int_t)answer->created_s, "model", answer->draft->model, "choices",
-      choice);
+      "{s:s, s:s, s:I, s:s, s:[o]}", "id", response->terms->request_id,
+      "object", chat ? "chat.completion.chunk" : "text_completion", "created",
+      (json_int_t)response->created_s, "model", response->draft->model,
+      "choices", choice);
   char *out = json_dumps (event, JSON_COMPACT);
   json_decref (event);
   return out;
 }
 
-/* Sends one server-sent event as one chunk.  Returns false when the caller has
-   gone.  */
+/* Sends DATA as one server-sent event in one chunk, after the headers if they
+   haven't been sent.  Returns false when the caller has disconnected.  */
 static bool
-send_event (struct answer *answer, const char *data)
+send_event (struct response *response, const char *data)
 {
   GString *event = g_string_sized_new (strlen (data) + 16);
   g_string_append_printf (event, "data: %s\n\n", data);
   GString *chunk = g_string_sized_new (event->len + 256);
-  if (!answer->started)
+  if (!response->started)
     {
-      answer->started = true;
+      response->started = true;
       g_string_append_printf (chunk,
                               "HTTP/1.1 200 OK\r\n"
                               "Content-Type: text/event-stream\r\n"
                               "Cache-Control: no-cache\r\n"
                               "X-Request-Id: %s\r\n"
                               "Transfer-Encoding: chunked\r\n\r\n",
-                              answer->terms->request_id);
+                              response->terms->request_id);
     }
   g_string_append_printf (chunk, "%zx\r\n%s\r\n", event->len, event->str);
-  int written = mg_write (answer->connection, chunk->str, chunk->len);
-  bool whole = written == (int)chunk->len;
+  int written = mg_write (response->connection, chunk->str, chunk->len);
+  bool complete = written == (int)chunk->len;
   g_string_free (event, TRUE);
   g_string_free (chunk, TRUE);
-  return whole;
+  return complete;
 }
 
+/* Sends a token at once, or collects it when the response is not streamed.
+   Returns false when the caller has disconnected.  */
 static bool
-take_token (const char *text, int64_t now_us, void *user_data)
+on_token (const char *text, int64_t now_us, void *user_data)
 {
   (void)now_us;
-  struct answer *answer = user_data;
-  if (!answer->draft->stream)
+  struct response *response = user_data;
+  if (!response->draft->stream)
     {
-      g_string_append (answer->text, text);
+      g_string_append (response->text, text);
       return true;
     }
-  char *event = event_json (answer, text, NULL);
-  bool whole = send_event (answer, event);
+  char *event = event_json (response, text, NULL);
+  bool complete = send_event (response, event);
   free (event);
-  return whole;
+  return complete;
 }
 
 static const char *
@@ -94,89 +97,94 @@
 }
 
 static void
-end_stream (struct answer *answer, const struct cal_draft_result *result)
+end_stream (struct response *response, const struct cal_draft_result *result)
 {
-  char *event = event_json (answer, NULL, finish_reason (result));
-  send_event (answer, event);
+  char *event = event_json (response, NULL, finish_reason (result));
+  send_event (response, event);
   free (event);
-  send_event (answer, "[DONE]");
-  mg_write (answer->connection, "0\r\n\r\n", 5);
+  send_event (response, "[DONE]");
+  mg_write (response->connection, "0\r\n\r\n", 5);
 }
 
-/* Ends a stream that failed after its first token: an event with the error
-   and no [DONE].  */
+/* Ends a stream that failed after its headers were sent: sends an event with
+   the error and no [DONE].  */
 static void
-break_stream (struct answer *answer, const struct err_failure *failure)
+fail_stream (struct response *response, const struct err_failure *failure)
 {
   json_t *body = http_failure_body (failure);
   char *text = json_dumps (body, JSON_COMPACT);
-  send_event (answer, text);
+  send_event (response, text);
   free (text);
   json_decref (body);
-  mg_write (answer->connection, "0\r\n\r\n", 5);
+  mg_write (response->connection, "0\r\n\r\n", 5);
 }
 
+/* Sends the response of a completion that is not streamed.  */
 static void
-send_whole (struct answer *answer, const struct cal_draft_result *result)
+send_completion (struct response *response,
+                 const struct cal_draft_result *result)
 {
-  bool chat = answer->draft->chat;
+  bool chat = response->draft->chat;
   json_t *choice = json_pack ("{s:i, s:s}", "index", 0, "finish_reason",
                               finish_reason (result));
   if (chat)
     {
       json_object_set_new (choice, "message",
                            json_pack ("{s:s, s:s}", "role", "assistant",
-                                      "content", answer->text->str));
+                                      "content", response->text->str));
     }
   else
     {
-      json_object_set_new (choice, "text", json_string (answer->text->str));
+      json_object_set_new (choice, "text", json_string (response->text->str));
     }
   json_t *body = json_pack (
       "{s:s, s:s, s:I, s:s, s:[o], s:{s:i, s:i, s:i}, s:s}", "id",
-      answer->terms->request_id, "object",
+      response->terms->request_id, "object",
       chat ? "chat.completion" : "text_completion", "created",
-      (json_int_t)answer->created_s, "model", answer->draft->model, "choices",
-      choice, "usage", "prompt_tokens", (int)result->prompt_tokens,
+      (json_int_t)response->created_s, "model", response->draft->model,
+      "choices", choice, "usage", "prompt_tokens", (int)result->prompt_tokens,
       "completion_tokens", (int)result->tokens, "total_tokens",
       (int)(result->prompt_tokens + result->tokens), "path", result->path);
-  http_send_json (answer->connection, 200, body);
+  http_send_json (response->connection, 200, body);
   json_decref (body);
 }
 
+/* Runs the completion and sends its response.  Returns the kind of error, or
+   ERR_NONE.  */
 static enum err_kind
 run_draft (const struct chat_env *env, const struct cal_account *account,
-           struct answer *answer)
+           struct response *response)
 {
   struct err_failure failure = { .kind = ERR_NONE };
   struct cal_draft_result result = { .path = NULL };
-  bool whole = env->backend->run_draft (env->user_data, account, answer->terms,
-                                        answer->draft, take_token, answer,
-                                        &result, &failure);
-  if (whole && answer->draft->stream)
+  bool complete = env->backend->run_draft (
+      env->user_data, account, response->terms, response->draft, on_token,
+      response, &result, &failure);
+  if (complete && response->draft->stream)
     {
-      end_stream (answer, &result);
+      end_stream (response, &result);
     }
-  else if (whole)
+  else if (complete)
     {
-      send_whole (answer, &result);
+      send_completion (response, &result);
     }
-  else if (answer->started)
+  else if (response->started)
     {
-      break_stream (answer, &failure);
+      fail_stream (response, &failure);
     }
   else
     {
-      http_send_failure (answer->connection, &failure);
+      http_send_failure (response->connection, &failure);
     }
   g_free (result.path);
-  return whole ? ERR_NONE : failure.kind;
+  return complete ? ERR_NONE : failure.kind;
 }
 
-/* Answers one completion request, of the chat form when CHAT.  Returns the
-   kind that the request ended with.  */
+/* Handles one completion request, which is a chat completion when CHAT is true
+   and else a text completion.  Sends the response or the error.  Returns the
+   kind of error, or ERR_NONE.  */
 enum err_kind
-chat_answer (const struct chat_env *env, struct mg_connection *connection,
+chat_handle (const struct chat_env *env, struct mg_connection *connection,
              const struct cal_account *account, const struct cal_terms *terms,
              bool chat)
 {
@@ -191,15 +199,15 @@
   enum err_kind kind = ERR_NONE;
   if (cal_draft_parse (body->str, body->len, chat, &draft, &failure))
     {
-      struct answer answer = {
+      struct response response = {
         .connection = connection,
         .draft = &draft,
         .terms = terms,
         .created_s = clk_real_us () / CLK_S_US,
         .text = g_string_new (NULL),
       };
-      kind = run_draft (env, account, &answer);
-      g_string_free (answer.text, TRUE);
+      kind = run_draft (env, account, &response);
+      g_string_free (response.text, TRUE);
     }
   else
     {
--- a/src/caller/chat.h
+++ b/src/caller/chat.h
@@ -1,10 +1,12 @@
-/* Completion requests. */
+/* Handling of completion requests: parses the body, runs the completion and
+   sends the response, whole or as a stream of server-sent events. */
 #ifndef CALLER_CHAT_H
 #define CALLER_CHAT_H
 
 #include "base/http.h"
 #include "caller/caller.h"
 
+/* What the handler needs from the server. */
 struct chat_env
 {
   const struct cal_backend *backend;
@@ -12,7 +14,7 @@
   size_t body_bytes_max;
 };
 
-enum err_kind chat_answer (const struct chat_env *env,
+enum err_kind chat_handle (const struct chat_env *env,
                            struct mg_connection *connection,
                            const struct cal_account *account,
                            const struct cal_terms *terms, bool chat);
--- a/src/caller/draft_body.c
+++ b/src/caller/draft_body.c
@@ -1,17 +1,19 @@
+/* Parses the JSON bodies of completion requests. */
 #include "caller/caller.h"
 
 #include <jansson.h>
 #include <string.h>
 
+/* Sets FAILURE to ERR_BAD_REQUEST with MESSAGE.  Returns false.  */
 static bool
-refuse (struct err_failure *failure, const char *message)
+reject (struct err_failure *failure, const char *message)
 {
   err_fail (failure, ERR_BAD_REQUEST, message);
   return false;
 }
 
-/* Appends the text of one message's content: a string, or an array of parts
-   with `text'.  */
+/* Appends the text of one message's CONTENT, a string or an array of objects
+   with `text', to PROMPT.  Returns false when CONTENT has another form.  */
 static bool
 append_content (const json_t *content, GString *prompt)
 {
@@ -38,14 +40,14 @@
   return true;
 }
 
-/* Joins the messages to one prompt, a line for each message.  */
+/* Joins MESSAGES to one prompt, with one line `ROLE: CONTENT' for each.  */
 static bool
 join_messages (const json_t *messages, struct cal_draft *draft,
                struct err_failure *failure)
 {
   if (!json_is_array (messages) || json_array_size (messages) == 0)
     {
-      return refuse (failure, "messages: a non-empty array is needed");
+      return reject (failure, "messages: a non-empty array is required");
     }
   GString *prompt = g_string_new (NULL);
   bool valid = true;
@@ -69,9 +71,10 @@
   }
   draft->prompt = g_string_free (prompt, FALSE);
   return valid ? true
-               : refuse (failure, "messages: each needs role and content");
+               : reject (failure, "messages: each requires role and content");
 }
 
+/* Reads the optional max_completion_tokens, or else the older max_tokens.  */
 static bool
 read_max_tokens (const json_t *body, struct cal_draft *draft,
                  struct err_failure *failure)
@@ -88,7 +91,7 @@
   json_int_t count = json_integer_value (value);
   if (!json_is_integer (value) || count < 1 || count > INT32_MAX)
     {
-      return refuse (failure, "max_tokens: a whole number above 0 is needed");
+      return reject (failure, "max_tokens: a positive integer is required");
     }
   draft->max_tokens = (uint32_t)count;
   return true;
@@ -103,12 +106,12 @@
   if (model == NULL || model[0] == '\0'
       || strlen (model) >= sizeof draft->model)
     {
-      return refuse (failure, "model: a name of a model is needed");
+      return reject (failure, "model: the name of a model is required");
     }
   g_strlcpy (draft->model, model, sizeof draft->model);
   if (stream != NULL && !json_is_boolean (stream) && !json_is_null (stream))
     {
-      return refuse (failure, "stream: true or false is needed");
+      return reject (failure, "stream: true or false is required");
     }
   draft->stream = json_is_true (stream);
   draft->chat = chat;
@@ -124,25 +127,26 @@
   const char *prompt = json_string_value (json_object_get (body, "prompt"));
   if (prompt == NULL)
     {
-      return refuse (failure, "prompt: a string is needed");
+      return reject (failure, "prompt: a string is required");
     }
   draft->prompt = g_strdup (prompt);
   return true;
 }
 
-/* Reads the body of a completion request, of the chat form when CHAT.  DRAFT
-   is freed with cal_draft_clear in every case.  FAILURE: ERR_BAD_REQUEST.  */
+/* Parses the body of a completion request, a chat completion when CHAT is
+   true.  Returns false and sets FAILURE to ERR_BAD_REQUEST when the body is
+   not valid.  In either case DRAFT must be freed with cal_draft_clear.  */
 bool
 cal_draft_parse (const char *text, size_t bytes, bool chat,
                  struct cal_draft *draft, struct err_failure *failure)
 {
-  json_error_t where;
+  json_error_t error;
   memset (draft, 0, sizeof *draft);
-  json_t *body = json_loadb (text, bytes, JSON_REJECT_DUPLICATES, &where);
+  json_t *body = json_loadb (text, bytes, JSON_REJECT_DUPLICATES, &error);
   if (!json_is_object (body))
     {
       json_decref (body);
-      return refuse (failure, "the body is not a JSON object");
+      return reject (failure, "the body is not a JSON object");
     }
   bool valid = read_body (body, chat, draft, failure);
   json_decref (body);
--- a/src/caller/server.c
+++ b/src/caller/server.c
@@ -11,7 +11,7 @@
 #define THREAD_STACK_BYTES ((size_t)256 * 1024)
 #define SERVICE_PREFIX "/v1/services/"
 #define KEY_PREFIX "/v1/requests/"
-#define KEY_BYTES_MAX 128
+#define KEY_BYTES_MAX 128 /* of an Idempotency-Key */
 #define PRIORITY_LOWEST 3
 
 struct cal_server
@@ -20,11 +20,12 @@
   struct mg_context *context;
   struct chat_env chat;
   uint16_t port;
-  _Atomic int64_t under_way;
-  _Atomic uint64_t request_count;
-  struct cnt_series *answers[ERR_KIND_COUNT];
+  _Atomic int64_t requests_in_progress;
+  _Atomic uint64_t request_count; /* all since the start */
+  struct cnt_series *responses[ERR_KIND_COUNT];
 };
 
+/* Writes a random hex id, with a counter at its end, to ID.  */
 static void
 make_request_id (struct cal_server *server, char *id, size_t id_bytes)
 {
@@ -33,7 +34,9 @@
               (unsigned)(count & 0xffffff));
 }
 
-/* Reads X-Priority (0 to 3) and X-Deadline-Ms.  */
+/* Sets TERMS from the headers X-Priority (0 to 3, 1 by default) and
+   X-Deadline-Ms, and gives the request a new id.  Returns false and sets
+   FAILURE to ERR_BAD_REQUEST when a header is not valid.  */
 static bool
 read_terms (struct cal_server *server, struct mg_connection *connection,
             struct cal_terms *terms, struct err_failure *failure)
@@ -51,7 +54,7 @@
                                        NULL))
         {
           err_fail (failure, ERR_BAD_REQUEST,
-                    "X-Deadline-Ms: 1 to 86400000 is needed");
+                    "X-Deadline-Ms: 1 to 86400000 is required");
           return false;
         }
       terms->deadline_us
@@ -61,13 +64,14 @@
       && !g_ascii_string_to_unsigned (priority, 10, 0, PRIORITY_LOWEST, &value,
                                       NULL))
     {
-      err_fail (failure, ERR_BAD_REQUEST, "X-Priority: 0 to 3 is needed");
+      err_fail (failure, ERR_BAD_REQUEST, "X-Priority: 0 to 3 is required");
       return false;
     }
   terms->priority = (uint32_t)value;
   return true;
 }
 
+/* Finds the ACCOUNT of the bearer token in the request.  */
 static bool
 authorize (struct cal_server *server, struct mg_connection *connection,
            struct cal_account *account, struct err_failure *failure)
@@ -82,6 +86,8 @@
                                             account, failure);
 }
 
+/* Splits the path /v1/services/SERVICE/PATH into SERVICE and PATH, with the
+   query.  Returns false when SERVICE is empty or too long.  */
 static bool
 split_service_path (const struct mg_request_info *info, char *service,
                     size_t service_bytes, GString *path)
@@ -103,46 +109,49 @@
   return true;
 }
 
-/* Sends CALL on and its answer back.  */
+/* Forwards CALL to its service and sends the response to the caller.  Returns
+   the kind of error, or ERR_NONE.  */
 static enum err_kind
 forward_call (struct cal_server *server, struct mg_connection *connection,
               const struct cal_account *account, const struct cal_terms *terms,
               const struct cal_service_call *call)
 {
   struct err_failure failure = { .kind = ERR_NONE };
-  struct cal_service_answer answer = { .body = NULL };
+  struct cal_service_answer response = { .body = NULL };
   if (call->key != NULL && strlen (call->key) > KEY_BYTES_MAX)
     {
       err_fail (&failure, ERR_BAD_REQUEST,
                 "Idempotency-Key: at most 128 bytes are allowed");
     }
   else if (server->params.backend->call_service (server->params.user_data,
-                                                 account, terms, call, &answer,
-                                                 &failure))
+                                                 account, terms, call,
+                                                 &response, &failure))
     {
       char headers[80];
       g_snprintf (headers, sizeof headers, "X-Request-Id: %s\r\n",
                   terms->request_id);
-      http_send (connection, answer.status,
-                 answer.content_type[0] != '\0' ? answer.content_type
-                                                : "application/json",
-                 headers, answer.body->str, answer.body->len);
+      http_send (connection, response.status,
+                 response.content_type[0] != '\0' ? response.content_type
+                                                  : "application/json",
+                 headers, response.body->str, response.body->len);
     }
   if (failure.kind != ERR_NONE)
     {
       http_send_failure (connection, &failure);
     }
-  if (answer.body != NULL)
+  if (response.body != NULL)
     {
-      g_string_free (answer.body, TRUE);
+      g_string_free (response.body, TRUE);
     }
   return failure.kind;
 }
 
+/* Handles a request to a service.  Returns the kind of error, or ERR_NONE.  */
 static enum err_kind
-answer_service (struct cal_server *server, struct mg_connection *connection,
-                const struct cal_account *account,
-                const struct cal_terms *terms)
+handle_service_call (struct cal_server *server,
+                     struct mg_connection *connection,
+                     const struct cal_account *account,
+                     const struct cal_terms *terms)
 {
   const struct mg_request_info *info = mg_get_request_info (connection);
   struct err_failure failure;
@@ -180,9 +189,11 @@
   return kind;
 }
 
+/* Sends what is known of the request with an idempotency key.  Returns the
+   kind of error, or ERR_NONE.  */
 static enum err_kind
-answer_key (struct cal_server *server, struct mg_connection *connection,
-            const struct cal_account *account)
+handle_key_lookup (struct cal_server *server, struct mg_connection *connection,
+                   const struct cal_account *account)
 {
   const struct mg_request_info *info = mg_get_request_info (connection);
   const char *key = info->local_uri + sizeof KEY_PREFIX - 1;
@@ -200,8 +211,9 @@
   return failure.kind;
 }
 
+/* Sends the list of models.  Returns the kind of error, or ERR_NONE.  */
 static enum err_kind
-answer_models (struct cal_server *server, struct mg_connection *connection)
+handle_model_list (struct cal_server *server, struct mg_connection *connection)
 {
   struct err_failure failure = { .kind = ERR_NONE };
   char *models = NULL;
@@ -217,9 +229,10 @@
   return failure.kind;
 }
 
-/* Answers a request of an account.  */
+/* Handles a request of ACCOUNT by its path.  Returns the kind of error, or
+   ERR_NONE.  */
 static enum err_kind
-answer_authorized (struct cal_server *server, struct mg_connection *connection,
+handle_authorized (struct cal_server *server, struct mg_connection *connection,
                    const struct cal_account *account,
                    const struct cal_terms *terms)
 {
@@ -228,23 +241,23 @@
   bool post = strcmp (info->request_method, "POST") == 0;
   if (post && strcmp (uri, "/v1/chat/completions") == 0)
     {
-      return chat_answer (&server->chat, connection, account, terms, true);
+      return chat_handle (&server->chat, connection, account, terms, true);
     }
   if (post && strcmp (uri, "/v1/completions") == 0)
     {
-      return chat_answer (&server->chat, connection, account, terms, false);
+      return chat_handle (&server->chat, connection, account, terms, false);
     }
   if (g_str_has_prefix (uri, SERVICE_PREFIX))
     {
-      return answer_service (server, connection, account, terms);
+      return handle_service_call (server, connection, account, terms);
     }
   if (g_str_has_prefix (uri, KEY_PREFIX))
     {
-      return answer_key (server, connection, account);
+      return handle_key_lookup (server, connection, account);
     }
   if (strcmp (uri, "/v1/models") == 0)
     {
-      return answer_models (server, connection);
+      return handle_model_list (server, connection);
     }
   struct err_failure failure;
   err_fail (&failure, ERR_NOT_FOUND, NULL);
@@ -252,6 +265,8 @@
   return failure.kind;
 }
 
+/* Handles every request but /healthz and /readyz: authorizes, logs and counts
+   it.  */
 static int
 handle_request (struct mg_connection *connection, void *user_data)
 {
@@ -261,29 +276,29 @@
   struct cal_terms terms;
   struct err_failure failure;
   enum err_kind kind;
-  atomic_fetch_add (&server->under_way, 1);
-  int64_t began_us = clk_monotonic_us ();
+  atomic_fetch_add (&server->requests_in_progress, 1);
+  int64_t start_us = clk_monotonic_us ();
   if (authorize (server, connection, &account, &failure)
       && read_terms (server, connection, &terms, &failure))
     {
-      kind = answer_authorized (server, connection, &account, &terms);
+      kind = handle_authorized (server, connection, &account, &terms);
       lg_line (LOG_INFO, "request",
                "request=%s account=%s method=%s path=%s kind=%s us=%ld",
                terms.request_id, account.name, info->request_method,
                info->local_uri, err_answer (kind)->name,
-               (long)(clk_monotonic_us () - began_us));
+               (long)(clk_monotonic_us () - start_us));
     }
   else
     {
       kind = failure.kind;
       http_send_failure (connection, &failure);
     }
-  cnt_add (server->answers[kind], 1);
-  atomic_fetch_sub (&server->under_way, 1);
+  cnt_add (server->responses[kind], 1);
+  atomic_fetch_sub (&server->requests_in_progress, 1);
   return 1;
 }
 
-/* /healthz: the process works.  */
+/* Handles /healthz, which reports that the process is running.  */
 static int
 handle_health (struct mg_connection *connection, void *user_data)
 {
@@ -292,7 +307,8 @@
   return 1;
 }
 
-/* /readyz: the balancer may send requests here.  */
+/* Handles /readyz, which reports whether a load balancer may send requests to
+   this daemon.  */
 static int
 handle_ready (struct mg_connection *connection, void *user_data)
 {
@@ -327,6 +343,7 @@
   server->params.backend->thread_ends (server->params.user_data);
 }
 
+/* Logs a message of the HTTP library.  */
 static int
 log_message (const struct mg_connection *connection, const char *message)
 {
@@ -343,12 +360,14 @@
       char labels[64];
       g_snprintf (labels, sizeof labels, "kind=\"%s\"",
                   err_answer ((enum err_kind)i)->name);
-      server->answers[i] = cnt_series (server->params.counters, CNT_COUNTER,
-                                       "kumquatthread_answers_total", labels,
-                                       "Answers to callers by error kind");
+      server->responses[i] = cnt_series (server->params.counters, CNT_COUNTER,
+                                         "kumquatthread_answers_total", labels,
+                                         "Answers to callers by error kind");
     }
 }
 
+/* Starts the listener and its threads.  Returns false when the address cannot
+   be listened on.  */
 static bool
 start_http (struct cal_server *server)
 {
@@ -387,8 +406,8 @@
   return server->context != NULL;
 }
 
-/* Starts the server.  Errors: ERR_SETTINGS when the address cannot be
-   listened on.  */
+/* Starts the server.  Returns NULL and sets ERROR to ERR_SETTINGS when it
+   cannot listen on the address.  */
 struct cal_server *
 cal_server_create (const struct cal_params *params, GError **error)
 {
@@ -416,8 +435,9 @@
   return server;
 }
 
-/* Stops listening, ends the threads and frees SERVER.  Requests under way are
-   cut: see cal_server_under_way.  */
+/* Stops listening, ends the threads and frees SERVER, which may be NULL.
+   Requests in progress are aborted: wait first until cal_server_under_way
+   returns 0.  */
 void
 cal_server_destroy (struct cal_server *server)
 {
@@ -429,16 +449,16 @@
   g_free (server);
 }
 
-/* Returns the port that the server listens on.  */
+/* Returns the port that SERVER listens on.  */
 uint16_t
 cal_server_port (const struct cal_server *server)
 {
   return server->port;
 }
 
-/* Returns the number of requests under way.  */
+/* Returns the number of requests in progress.  */
 int64_t
 cal_server_under_way (const struct cal_server *server)
 {
-  return atomic_load (&server->under_way);
+  return atomic_load (&server->requests_in_progress);
 }
