--- a/src/net/address.c
+++ b/src/net/address.c
@@ -5,8 +5,8 @@
 #include <stdint.h>
 #include <string.h>
 
-/* Reads IP:PORT from TEXT, or NULL.  Returns false when it is none; a port of
-   0 is one.  */
+/* Parses TEXT, which may be NULL, as IP:PORT into ADDRESS.  Returns false when
+   TEXT is not such an address.  Port 0 is valid.  */
 bool
 nad_parse (const char *text, struct sockaddr_in *address)
 {
@@ -15,11 +15,11 @@
     {
       return false;
     }
-  char host[INET_ADDRSTRLEN] = "";
+  char ip[INET_ADDRSTRLEN] = "";
   guint64 port = 0;
-  memcpy (host, text, (size_t)(colon - text));
+  memcpy (ip, text, (size_t)(colon - text));
   *address = (struct sockaddr_in){ .sin_family = AF_INET };
-  if (inet_pton (AF_INET, host, &address->sin_addr) != 1
+  if (inet_pton (AF_INET, ip, &address->sin_addr) != 1
       || !g_ascii_string_to_unsigned (colon + 1, 10, 0, UINT16_MAX, &port,
                                       NULL))
     {
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,5 @@
-/* Addresses IP:PORT of version 4, without look-ups. */
+/* Parsing of IPv4 addresses of the form IP:PORT.  Host names are not
+   resolved. */
 #ifndef NET_ADDRESS_H
 #define NET_ADDRESS_H
 
--- a/src/net/message.c
+++ b/src/net/message.c
@@ -3,14 +3,14 @@
 #include <string.h>
 #include <strings.h>
 
-/* Headers that concern one connection only (RFC 9110, section 7.6.1), and
-   those that the sender of a message sets for itself.  */
+/* Headers that apply to one connection only (RFC 9110, section 7.6.1), and
+   those that each sender sets itself.  */
 static const char *const hop_by_hop[] = {
   "Connection",        "Keep-Alive", "Proxy-Connection", "TE",     "Trailer",
   "Transfer-Encoding", "Upgrade",    "Content-Length",   "Expect",
 };
 
-/* Prepares MESSAGE for the first use.  */
+/* Initializes MESSAGE, to be freed with msg_clear.  */
 void
 msg_init (struct msg_message *message)
 {
@@ -21,7 +21,7 @@
   message->value_open = false;
 }
 
-/* Frees what MESSAGE holds.  */
+/* Frees the buffers of MESSAGE, but not MESSAGE itself.  */
 void
 msg_clear (struct msg_message *message)
 {
@@ -31,7 +31,8 @@
   g_byte_array_free (message->body, TRUE);
 }
 
-/* Empties MESSAGE for the next message of its connection.  */
+/* Empties MESSAGE for the next message of its connection and keeps the buffers
+   allocated.  */
 void
 msg_reset (struct msg_message *message)
 {
@@ -42,7 +43,7 @@
   message->value_open = false;
 }
 
-/* Ends the value that is open.  */
+/* Terminates the last value, if that has not been done.  */
 static void
 close_value (struct msg_message *message)
 {
@@ -53,7 +54,9 @@
     }
 }
 
-/* Takes COUNT bytes of a header's name; names and values come in pieces.  */
+/* Appends COUNT bytes to the name of a header, as the parser delivers them:
+   names and values may come in several pieces.  The first piece after a value
+   begins a new header.  */
 void
 msg_add_name (struct msg_message *message, const char *bytes, size_t count)
 {
@@ -71,7 +74,7 @@
   g_string_append_len (message->text, bytes, (gssize)count);
 }
 
-/* Takes COUNT bytes of a header's value.  */
+/* Appends COUNT bytes to the value of the last header.  */
 void
 msg_add_value (struct msg_message *message, const char *bytes, size_t count)
 {
@@ -86,14 +89,14 @@
   g_string_append_len (message->text, bytes, (gssize)count);
 }
 
-/* Takes the end of the headers.  */
+/* Marks the end of the headers; required before they are read.  */
 void
 msg_end_headers (struct msg_message *message)
 {
   close_value (message);
 }
 
-/* Returns the name of header INDEX.  */
+/* Returns the name of the header at INDEX, owned by MESSAGE.  */
 const char *
 msg_name (const struct msg_message *message, uint32_t index)
 {
@@ -101,7 +104,7 @@
          + g_array_index (message->headers, struct msg_header, index).name;
 }
 
-/* Returns the value of header INDEX.  */
+/* Returns the value of the header at INDEX, owned by MESSAGE.  */
 const char *
 msg_value (const struct msg_message *message, uint32_t index)
 {
@@ -109,7 +112,8 @@
          + g_array_index (message->headers, struct msg_header, index).value;
 }
 
-/* Returns the value of the first header called NAME, or NULL.  */
+/* Returns the value of the first header called NAME, in any letter case, or
+   NULL.  The value is owned by MESSAGE.  */
 const char *
 msg_find (const struct msg_message *message, const char *name)
 {
@@ -123,9 +127,10 @@
   return NULL;
 }
 
-/* True when the comma-separated LIST has the word NAME.  */
+/* Returns true when the comma-separated LIST, which may be NULL, contains NAME
+   in any letter case.  */
 static bool
-lists_word (const char *list, const char *name)
+list_contains (const char *list, const char *name)
 {
   size_t bytes = strlen (name);
   while (list != NULL && *list != '\0')
@@ -141,8 +146,8 @@
   return false;
 }
 
-/* True when the header NAME of MESSAGE ends at this connection and isn't
-   passed on.  */
+/* Returns true when the header NAME of MESSAGE applies to this connection
+   only, so that a proxy must not forward it.  */
 bool
 msg_is_hop_by_hop (const struct msg_message *message, const char *name)
 {
@@ -153,10 +158,11 @@
           return true;
         }
     }
-  return lists_word (msg_find (message, "Connection"), name);
+  return list_contains (msg_find (message, "Connection"), name);
 }
 
-/* Returns the number that follows NAME, such as `from=', in URL, or 0.  */
+/* Returns the number after the first NAME in URL, or 0 when there is none.
+   NAME contains the equals sign, as in `from='.  */
 uint64_t
 msg_query_number (const char *url, const char *name)
 {
@@ -165,17 +171,18 @@
                        : g_ascii_strtoull (found + strlen (name), NULL, 10);
 }
 
-/* Appends the headers of MESSAGE that are passed on to HEAD, each with CRLF:
-   all but those of one connection and those that DROPS, unless NULL, names. */
+/* Appends the headers of MESSAGE that a proxy forwards to HEAD, each with
+   CRLF.  Leaves out hop-by-hop headers and those for which EXCLUDES, unless
+   NULL, returns true.  */
 void
 msg_copy_headers (const struct msg_message *message,
-                  bool (*drops) (const char *name), GString *head)
+                  bool (*excludes) (const char *name), GString *head)
 {
   for (uint32_t i = 0; i < message->headers->len; i++)
     {
       const char *name = msg_name (message, i);
       if (!msg_is_hop_by_hop (message, name)
-          && (drops == NULL || !drops (name)))
+          && (excludes == NULL || !excludes (name)))
         {
           g_string_append_printf (head, "%s: %s\r\n", name,
                                   msg_value (message, i));
@@ -183,7 +190,7 @@
     }
 }
 
-/* Returns the reason phrase of STATUS.  */
+/* Returns the reason phrase of the HTTP status STATUS, or "Unknown".  */
 const char *
 msg_reason (uint32_t status)
 {
--- a/src/net/message.h
+++ b/src/net/message.h
@@ -1,5 +1,5 @@
-/* One HTTP message as it is parsed: its start line, headers and body, in
-   buffers that later messages of the connection use again. */
+/* One HTTP request or response while it is parsed: URL, headers and body.  The
+   buffers are reused for the later messages of the same connection. */
 #ifndef NET_MESSAGE_H
 #define NET_MESSAGE_H
 
@@ -10,17 +10,17 @@
 
 struct msg_header
 {
-  uint32_t name; /* offset in `text', terminated by zero */
-  uint32_t value;
+  uint32_t name;  /* offset in `text' */
+  uint32_t value; /* offset in `text'; 0 until the value has begun */
 };
 
 struct msg_message
 {
   GString *url;     /* of a request */
-  GString *text;    /* names and values, each terminated by zero */
+  GString *text;    /* names and values, each terminated by a null byte */
   GArray *headers;  /* struct msg_header */
-  GByteArray *body; /* as far as it is kept */
-  bool value_open;  /* the parser is within a value */
+  GByteArray *body; /* filled in by the user of this module */
+  bool value_open;  /* the last value may be continued */
 };
 
 void msg_init (struct msg_message *message);
@@ -37,7 +37,7 @@
 bool msg_is_hop_by_hop (const struct msg_message *message, const char *name);
 uint64_t msg_query_number (const char *url, const char *name);
 void msg_copy_headers (const struct msg_message *message,
-                       bool (*drops) (const char *name), GString *head);
+                       bool (*excludes) (const char *name), GString *head);
 const char *msg_reason (uint32_t status);
 
 #endif
