--- a/src/net/event_scan.c
+++ b/src/net/event_scan.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Prepares SCANNER for a stream from its start.  */
+/* Initializes SCANNER for the start of a stream.  Free with evs_clear.  */
 void
 evs_init (struct evs_scanner *scanner)
 {
@@ -12,7 +12,7 @@
   };
 }
 
-/* Frees what SCANNER holds.  */
+/* Frees the buffer of SCANNER, but not SCANNER itself.  */
 void
 evs_clear (struct evs_scanner *scanner)
 {
@@ -20,18 +20,18 @@
   scanner->pending = NULL;
 }
 
-/* Drops the unfinished event, for a sender that goes on after the last whole
-   one.  */
+/* Discards the incomplete event, before the bytes of another sender that
+   resumes the stream after the last complete event.  */
 void
 evs_restart (struct evs_scanner *scanner)
 {
   g_byte_array_set_size (scanner->pending, 0);
 }
 
-/* Returns the number of bytes of the first whole event in BYTES, with the
-   empty line that ends it, or 0 when there is none.  */
+/* Returns the number of bytes of the first complete event in BYTES, including
+   the empty line that ends it, or 0 when no event is complete.  */
 static size_t
-whole_event (const uint8_t *bytes, size_t count)
+first_event_bytes (const uint8_t *bytes, size_t count)
 {
   size_t line = 0;
   while (line < count)
@@ -52,8 +52,8 @@
   return 0;
 }
 
-/* Returns the id in the event BYTES, or -1 when it has none that is a
-   number.  */
+/* Returns the id of the event BYTES, or -1 when the event has no id.  An id
+   that is not a number is read as 0.  */
 static int64_t
 event_id (const uint8_t *bytes, size_t count)
 {
@@ -74,13 +74,14 @@
   return -1;
 }
 
-/* Takes COUNT more bytes and appends the whole events that they finish to
-   WHOLE.  Events whose ids came before are dropped; one whose id doesn't
-   follow the last sets `out_of_order' and ends the scan.  Returns the number
-   of events appended.  */
+/* Adds COUNT bytes to the stream and appends the events that are now complete
+   to COMPLETE.  Discards events whose id is not above the last one, which a
+   resumed stream may repeat.  An id that skips a number sets `out_of_order',
+   after which no more events are passed on.  Returns the number of events
+   appended.  */
 uint32_t
 evs_feed (struct evs_scanner *scanner, const void *bytes, size_t count,
-          GByteArray *whole)
+          GByteArray *complete)
 {
   g_byte_array_append (scanner->pending, bytes, (guint)count);
   size_t at = 0;
@@ -88,7 +89,7 @@
   while (!scanner->out_of_order)
     {
       const uint8_t *start = scanner->pending->data + at;
-      size_t length = whole_event (start, scanner->pending->len - at);
+      size_t length = first_event_bytes (start, scanner->pending->len - at);
       if (length == 0)
         {
           break;
@@ -99,7 +100,7 @@
                               && id != scanner->last_id + 1;
       if (!repeated && !scanner->out_of_order)
         {
-          g_byte_array_append (whole, start, (guint)length);
+          g_byte_array_append (complete, start, (guint)length);
           scanner->last_id = id >= 0 ? id : scanner->last_id;
           events++;
         }
--- a/src/net/event_scan.h
+++ b/src/net/event_scan.h
@@ -1,6 +1,6 @@
-/* Scans a stream of server-sent events (text/event-stream) for whole events
-   and their ids.  A sender may stop in the middle of an event, so only whole
-   ones are passed on. */
+/* Splits a stream of server-sent events (text/event-stream) into complete
+   events and checks their ids.  Only complete events are passed on, because a
+   sender may fail in the middle of one. */
 #ifndef NET_EVENT_SCAN_H
 #define NET_EVENT_SCAN_H
 
@@ -10,15 +10,15 @@
 
 struct evs_scanner
 {
-  GByteArray *pending; /* bytes after the last whole event */
-  int64_t last_id;     /* of the last whole event passed; -1: none */
-  bool out_of_order;   /* an id didn't follow the one before */
+  GByteArray *pending; /* bytes after the last complete event */
+  int64_t last_id;     /* of the last event passed on; -1: none */
+  bool out_of_order;   /* an id skipped at least one number */
 };
 
 void evs_init (struct evs_scanner *scanner);
 void evs_clear (struct evs_scanner *scanner);
 void evs_restart (struct evs_scanner *scanner);
 uint32_t evs_feed (struct evs_scanner *scanner, const void *bytes,
-                   size_t count, GByteArray *whole);
+                   size_t count, GByteArray *complete);
 
 #endif
