--- a/src/net/call.c
+++ b/src/net/call.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Bound on an answer's body. */
+/* Limit on the body of a response. */
 #define BODY_BYTES_MAX ((size_t)8 * 1024 * 1024)
 
 struct cal_call
@@ -13,7 +13,7 @@
   GByteArray *body;
   cal_done done;
   void *context;
-  bool over;
+  bool ended;
 };
 
 static void
@@ -24,24 +24,25 @@
   g_free (call);
 }
 
-/* Ends CALL with STATUS, or 0 and WHY.  */
+/* Ends CALL and reports STATUS, or 0 with REASON, to the owner.  */
 static void
-finish (struct cal_call *call, uint32_t status, const char *why)
+finish (struct cal_call *call, uint32_t status, const char *reason)
 {
-  if (call->over)
+  if (call->ended)
     {
       return;
     }
-  call->over = true;
+  call->ended = true;
   call->exchange = NULL;
-  call->done (call->context, status, call->body->data, call->body->len, why);
+  call->done (call->context, status, call->body->data, call->body->len,
+              reason);
   uv_close ((uv_handle_t *)&call->timer, on_timer_closed);
 }
 
 static bool
-on_headers (void *context, uint32_t status, const struct msg_message *answer)
+on_headers (void *context, uint32_t status, const struct msg_message *response)
 {
-  (void)answer;
+  (void)response;
   struct cal_call *call = context;
   call->status = status;
   return true;
@@ -54,7 +55,7 @@
   if (call->body->len + count > BODY_BYTES_MAX)
     {
       ncl_cancel (call->exchange);
-      finish (call, 0, "the answer is too long");
+      finish (call, 0, "the response is too long");
       return;
     }
   g_byte_array_append (call->body, (const guint8 *)bytes, (guint)count);
@@ -72,9 +73,10 @@
 {
   static const char *const reasons[] = {
     [NCL_NOT_CONNECTED] = "no connection",
-    [NCL_CUT_OFF] = "the connection was cut off",
-    [NCL_MALFORMED] = "the answer is malformed",
-    [NCL_FOREIGN] = "the answer is foreign",
+    [NCL_CUT_OFF]
+    = "the connection was closed or reset before the response was complete",
+    [NCL_MALFORMED] = "the response is not valid HTTP",
+    [NCL_FOREIGN] = "the response belongs to another request",
   };
   finish (context, 0, reasons[failure]);
 }
@@ -97,14 +99,17 @@
   finish (call, 0, "timeout");
 }
 
+/* Reports that the request could not be sent, from the event loop.  */
 static void
 on_unsendable (uv_timer_t *timer)
 {
   finish (timer->data, 0, "the address can't be used");
 }
 
-/* Makes the call that PARAMS describe; `done' gets its result, and never
-   before this returns.  The call is over then.  */
+/* Sends the request that PARAMS describe.  `done' receives the result from the
+   event loop, never before cal_send returns; the call must not be used after
+   that.  Of PARAMS, only the client, the loop and the context must outlive the
+   call.  */
 struct cal_call *
 cal_send (const struct cal_params *params)
 {
@@ -139,15 +144,15 @@
   return call;
 }
 
-/* Ends CALL without telling `done'.  */
+/* Ends CALL without calling `done'.  */
 void
 cal_cancel (struct cal_call *call)
 {
-  if (call->over)
+  if (call->ended)
     {
       return;
     }
-  call->over = true;
+  call->ended = true;
   if (call->exchange != NULL)
     {
       ncl_cancel (call->exchange);
--- a/src/net/call.h
+++ b/src/net/call.h
@@ -1,12 +1,15 @@
-/* One HTTP call with a small body each way and a time-out. */
+/* One HTTP request with a time-out, whose request and response bodies are held
+   in memory as a whole. */
 #ifndef NET_CALL_H
 #define NET_CALL_H
 
 #include "net/client.h"
 
-/* STATUS is 0 when no whole answer came; WHY then says so.  */
+/* Receives the HTTP status and body of the response.  STATUS is 0 when no
+   complete response arrived; REASON then says why, in words for the log.  BODY
+   is valid during the call.  */
 typedef void (*cal_done) (void *context, uint32_t status, const uint8_t *body,
-                          size_t body_bytes, const char *why);
+                          size_t body_bytes, const char *reason);
 
 struct cal_call;
 
@@ -14,7 +17,7 @@
 {
   struct ncl_client *client;
   uv_loop_t *loop;
-  const char *address;
+  const char *address; /* IP:PORT */
   const char *method;
   const char *path;
   const char *body; /* JSON; NULL: none */
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -6,10 +6,11 @@
 #include <netinet/tcp.h>
 #include <string.h>
 
-#define READ_BYTES 65536
+#define READ_BYTES 65536 /* of one read from a socket */
 
-/* One connection; carries at most one exchange at a time, which is then this
-   struct seen through the other name. */
+/* One connection and the exchange that it carries, if any.  Since there is at
+   most one at a time, the same struct is the exchange in the public interface
+   and is called the connection in this file. */
 struct ncl_exchange
 {
   uv_tcp_t tcp;
@@ -17,18 +18,18 @@
   struct ncl_client *client;
   char *address;
   http_parser parser;
-  struct msg_message answer;
-  GByteArray *unsent; /* the request while connecting */
+  struct msg_message response;
+  GByteArray *unsent; /* the request, until the connection is established */
   bool connected;
   bool in_use; /* carries an exchange */
   bool headers_seen;
-  bool finished; /* the answer's end was seen in this read */
-  bool foreign;  /* the answer belongs to another request */
+  bool finished; /* the response has been parsed to its end */
+  bool foreign;  /* the response belongs to another request */
   bool closing;
   bool paused;
   int64_t idle_since_us;
-  int64_t keep_us; /* how long it may stay idle */
-  int64_t connect_by_us;
+  int64_t idle_timeout_us;
+  int64_t connect_by_us; /* deadline, monotonic time */
   const struct ncl_events *events;
   void *context;
 };
@@ -37,9 +38,11 @@
 {
   uv_loop_t *loop;
   struct ncl_params params;
-  GHashTable *idle; /* address to GPtrArray of connections, newest last */
-  GPtrArray *all;
-  char *read_buffer; /* READ_BYTES, shared: reads are handled at once */
+  GHashTable *idle; /* address to GPtrArray of connections; the last
+                       one was used most recently */
+  GPtrArray *connections;
+  char *read_buffer; /* READ_BYTES, shared by all connections: each read is
+                        handled before the next one */
   struct ncl_counts counts;
 };
 
@@ -72,7 +75,7 @@
   client->params = *params;
   client->idle
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, destroy_list);
-  client->all = g_ptr_array_new ();
+  client->connections = g_ptr_array_new ();
   client->read_buffer = g_malloc (READ_BYTES);
   return client;
 }
@@ -81,7 +84,7 @@
 on_closed (uv_handle_t *handle)
 {
   struct ncl_exchange *connection = handle->data;
-  msg_clear (&connection->answer);
+  msg_clear (&connection->response);
   if (connection->unsent != NULL)
     {
       g_byte_array_free (connection->unsent, TRUE);
@@ -90,9 +93,9 @@
   g_free (connection);
 }
 
-/* Takes CONNECTION out of the idle ones.  */
+/* Removes CONNECTION from the pool of idle connections.  */
 static void
-leave_idle (struct ncl_exchange *connection)
+remove_idle (struct ncl_exchange *connection)
 {
   GPtrArray *list
       = g_hash_table_lookup (connection->client->idle, connection->address);
@@ -110,13 +113,14 @@
       return;
     }
   connection->closing = true;
-  leave_idle (connection);
-  g_ptr_array_remove_fast (connection->client->all, connection);
+  remove_idle (connection);
+  g_ptr_array_remove_fast (connection->client->connections, connection);
   connection->client->counts.open--;
   uv_close ((uv_handle_t *)&connection->tcp, on_closed);
 }
 
-/* Ends the exchange on CONNECTION as failed, and the connection with it.  */
+/* Closes CONNECTION and reports FAILURE to the owner of its exchange, if it
+   carries one.  */
 static void
 fail (struct ncl_exchange *connection, enum ncl_failure failure)
 {
@@ -133,7 +137,7 @@
 on_header_field (http_parser *parser, const char *at, size_t count)
 {
   struct ncl_exchange *connection = parser->data;
-  msg_add_name (&connection->answer, at, count);
+  msg_add_name (&connection->response, at, count);
   return 0;
 }
 
@@ -141,26 +145,27 @@
 on_header_value (http_parser *parser, const char *at, size_t count)
 {
   struct ncl_exchange *connection = parser->data;
-  msg_add_value (&connection->answer, at, count);
+  msg_add_value (&connection->response, at, count);
   return 0;
 }
 
-/* Sets how long CONNECTION may stay idle after this answer.  */
+/* Sets the idle time-out of CONNECTION from the Keep-Alive header of the
+   response.  */
 static void
 read_keep_alive (struct ncl_exchange *connection)
 {
   const struct ncl_params *params = &connection->client->params;
-  const char *keep_alive = msg_find (&connection->answer, "Keep-Alive");
+  const char *keep_alive = msg_find (&connection->response, "Keep-Alive");
   const char *timeout
       = keep_alive == NULL ? NULL : strstr (keep_alive, "timeout=");
-  connection->keep_us = params->idle_max_us;
+  connection->idle_timeout_us = params->idle_max_us;
   if (timeout != NULL)
     {
-      int64_t stated_us
+      int64_t server_timeout_us
           = g_ascii_strtoll (timeout + strlen ("timeout="), NULL, 10)
             * CLK_S_US;
-      connection->keep_us
-          = MIN (params->idle_max_us, stated_us - params->idle_margin_us);
+      connection->idle_timeout_us = MIN (
+          params->idle_max_us, server_timeout_us - params->idle_margin_us);
     }
 }
 
@@ -168,16 +173,16 @@
 on_headers_complete (http_parser *parser)
 {
   struct ncl_exchange *connection = parser->data;
-  msg_end_headers (&connection->answer);
+  msg_end_headers (&connection->response);
   if (parser->status_code < 200)
     {
-      msg_reset (&connection->answer);
+      msg_reset (&connection->response);
       return 0;
     }
   connection->headers_seen = true;
   read_keep_alive (connection);
   if (!connection->events->headers (connection->context, parser->status_code,
-                                    &connection->answer))
+                                    &connection->response))
     {
       connection->foreign = true;
       return -1;
@@ -206,16 +211,16 @@
   return 0;
 }
 
-/* Ends the exchange on CONNECTION well.  The connection is kept when REUSABLE.
-   Its place among the idle ones is taken before the owner is told, so that the
-   owner's next request finds it.  */
+/* Ends the exchange on CONNECTION as complete.  A REUSABLE connection is kept
+   as idle before the owner is notified, so that a request sent from the
+   callback finds it.  */
 static void
 finish (struct ncl_exchange *connection, bool reusable)
 {
   connection->in_use = false;
   const struct ncl_events *events = connection->events;
   void *context = connection->context;
-  if (reusable && connection->keep_us > 0)
+  if (reusable && connection->idle_timeout_us > 0)
     {
       struct ncl_client *client = connection->client;
       GPtrArray *list
@@ -240,13 +245,13 @@
   events->complete (context);
 }
 
-/* Handles COUNT bytes of an answer.  */
+/* Handles COUNT bytes from the server.  */
 static void
-take_bytes (struct ncl_exchange *connection, const char *bytes, size_t count)
+handle_bytes (struct ncl_exchange *connection, const char *bytes, size_t count)
 {
   if (!connection->in_use)
     {
-      close_connection (connection); /* bytes that belong to no request */
+      close_connection (connection); /* bytes that no request asked for */
       return;
     }
   size_t parsed = http_parser_execute (&connection->parser, &parser_settings,
@@ -271,10 +276,10 @@
     }
 }
 
-/* Handles the end of the other side's bytes.  An answer without a length ends
-   with its connection.  */
+/* Handles the end of the connection, an error when RESET.  A response without
+   a length ends with its connection.  */
 static void
-take_end (struct ncl_exchange *connection, bool reset)
+handle_end (struct ncl_exchange *connection, bool reset)
 {
   if (!connection->in_use)
     {
@@ -311,10 +316,10 @@
     }
   if (count < 0)
     {
-      take_end (connection, count != UV_EOF);
+      handle_end (connection, count != UV_EOF);
       return;
     }
-  take_bytes (connection, buffer->base, (size_t)count);
+  handle_bytes (connection, buffer->base, (size_t)count);
 }
 
 static void
@@ -329,14 +334,15 @@
     }
 }
 
-/* Sends COUNT bytes on CONNECTION.  */
+/* Sends COUNT bytes on CONNECTION; queues what the socket doesn't accept at
+   once.  */
 static void
 write_bytes (struct ncl_exchange *connection, const uint8_t *bytes,
              size_t count)
 {
   uv_stream_t *stream = (uv_stream_t *)&connection->tcp;
-  uv_buf_t whole = uv_buf_init ((char *)bytes, (unsigned)count);
-  int written = uv_try_write (stream, &whole, 1);
+  uv_buf_t buffer = uv_buf_init ((char *)bytes, (unsigned)count);
+  int written = uv_try_write (stream, &buffer, 1);
   size_t done = written > 0 ? (size_t)written : 0;
   if (done == count)
     {
@@ -370,9 +376,10 @@
   g_byte_array_free (unsent, TRUE);
 }
 
-/* Ends a connection whose bytes the other side leaves unacknowledged.  */
+/* Lets the kernel end CONNECTION when the server doesn't acknowledge sent
+   bytes in time.  */
 static void
-set_silence_timeout (struct ncl_exchange *connection)
+set_user_timeout (struct ncl_exchange *connection)
 {
   uv_os_fd_t descriptor;
   if (uv_fileno ((uv_handle_t *)&connection->tcp, &descriptor) == 0)
@@ -383,8 +390,8 @@
     }
 }
 
-/* Returns a new connection to ADDRESS that is being established, or NULL when
-   the address is none.  */
+/* Begins to connect to ADDRESS.  Returns the new connection, or NULL when the
+   address is not valid or connecting fails at once.  */
 static struct ncl_exchange *
 open_connection (struct ncl_client *client, const char *address)
 {
@@ -396,14 +403,14 @@
   struct ncl_exchange *connection = g_new0 (struct ncl_exchange, 1);
   connection->client = client;
   connection->address = g_strdup (address);
-  msg_init (&connection->answer);
+  msg_init (&connection->response);
   uv_tcp_init_ex (client->loop, &connection->tcp, AF_INET);
   connection->tcp.data = connection;
   connection->connect.data = connection;
   connection->connect_by_us
       = clk_monotonic_us () + client->params.connect_timeout_us;
-  set_silence_timeout (connection);
-  g_ptr_array_add (client->all, connection);
+  set_user_timeout (connection);
+  g_ptr_array_add (client->connections, connection);
   client->counts.connections++;
   client->counts.open++;
   int status = uv_tcp_connect (&connection->connect, &connection->tcp,
@@ -416,7 +423,8 @@
   return connection;
 }
 
-/* Returns the connection to ADDRESS that was used last, or NULL.  */
+/* Removes the idle connection to ADDRESS that was used last from the pool and
+   returns it, or NULL when there is none.  Closes those that have expired.  */
 static struct ncl_exchange *
 take_idle (struct ncl_client *client, const char *address)
 {
@@ -426,7 +434,7 @@
     {
       struct ncl_exchange *connection
           = g_ptr_array_steal_index (list, list->len - 1);
-      if (now_us - connection->idle_since_us < connection->keep_us)
+      if (now_us - connection->idle_since_us < connection->idle_timeout_us)
         {
           return connection;
         }
@@ -435,15 +443,17 @@
   return NULL;
 }
 
-/* Sends the request of COUNT BYTES to ADDRESS, on a kept connection unless
-   FRESH, and tells EVENTS with CONTEXT what becomes of it; none is told before
-   this returns.  Returns NULL when the address can't be used.  */
+/* Sends the request of COUNT BYTES, headers and body, to ADDRESS, on an idle
+   connection if there is one and NEW_CONNECTION is false.  Calls EVENTS with
+   CONTEXT from the event loop, never before ncl_send returns.  Returns NULL
+   when the address is not valid or can't be used.  */
 struct ncl_exchange *
 ncl_send (struct ncl_client *client, const char *address, const char *bytes,
-          size_t count, bool fresh, const struct ncl_events *events,
+          size_t count, bool new_connection, const struct ncl_events *events,
           void *context)
 {
-  struct ncl_exchange *connection = fresh ? NULL : take_idle (client, address);
+  struct ncl_exchange *connection
+      = new_connection ? NULL : take_idle (client, address);
   if (connection == NULL)
     {
       connection = open_connection (client, address);
@@ -459,7 +469,7 @@
   connection->headers_seen = false;
   connection->finished = false;
   connection->foreign = false;
-  msg_reset (&connection->answer);
+  msg_reset (&connection->response);
   http_parser_init (&connection->parser, HTTP_RESPONSE);
   connection->parser.data = connection;
   if (connection->connected)
@@ -473,8 +483,8 @@
   return connection;
 }
 
-/* Ends EXCHANGE without an event and closes its connection, which tells the
-   other side to stop.  */
+/* Ends EXCHANGE without calling its events.  Closes the connection, which lets
+   the server stop working on the request.  */
 void
 ncl_cancel (struct ncl_exchange *exchange)
 {
@@ -482,7 +492,7 @@
   close_connection (exchange);
 }
 
-/* Reads no further, so that the sender has to wait.  */
+/* Stops reading the response, so that TCP flow control holds up the server. */
 void
 ncl_pause (struct ncl_exchange *exchange)
 {
@@ -493,7 +503,7 @@
     }
 }
 
-/* Ends what ncl_pause began.  */
+/* Continues to read the response after ncl_pause.  */
 void
 ncl_resume (struct ncl_exchange *exchange)
 {
@@ -504,8 +514,8 @@
     }
 }
 
-/* True when the answer of EXCHANGE has no length, so that only the end of the
-   connection ends it.  Valid from its headers on.  */
+/* Returns true when the response of EXCHANGE has no length and so ends only
+   with its connection.  Valid once the headers have arrived.  */
 bool
 ncl_ends_with_connection (const struct ncl_exchange *exchange)
 {
@@ -516,38 +526,41 @@
          && (exchange->parser.flags & F_CONTENTLENGTH) == 0;
 }
 
-/* Returns the counts of CLIENT.  */
+/* Returns the counters of CLIENT, owned by CLIENT.  */
 const struct ncl_counts *
 ncl_counts (const struct ncl_client *client)
 {
   return &client->counts;
 }
 
-/* Closes connections that were idle too long, and fails those that weren't
-   established in time.  Called some times a second.  */
+/* Closes connections that have been idle too long, and fails those that were
+   not established in time.  NOW_US is monotonic time.  To be called several
+   times a second.  */
 void
 ncl_expire (struct ncl_client *client, int64_t now_us)
 {
-  for (guint i = client->all->len; i-- > 0;)
+  for (guint i = client->connections->len; i-- > 0;)
     {
-      if (i >= client->all->len)
+      if (i >= client->connections->len)
         {
           continue;
         }
-      struct ncl_exchange *connection = g_ptr_array_index (client->all, i);
+      struct ncl_exchange *connection
+          = g_ptr_array_index (client->connections, i);
       if (!connection->connected && now_us >= connection->connect_by_us)
         {
           fail (connection, NCL_NOT_CONNECTED);
         }
       else if (connection->connected && !connection->in_use
-               && now_us - connection->idle_since_us >= connection->keep_us)
+               && now_us - connection->idle_since_us
+                      >= connection->idle_timeout_us)
         {
           close_connection (connection);
         }
     }
 }
 
-/* Closes the idle connections to ADDRESS, whose server is gone.  */
+/* Closes the idle connections to ADDRESS, whose server no longer exists.  */
 void
 ncl_forget (struct ncl_client *client, const char *address)
 {
@@ -558,16 +571,16 @@
     }
 }
 
-/* Frees CLIENT, all of whose exchanges have ended; the loop must run once more
-   to close the connections.  */
+/* Frees CLIENT, all of whose exchanges must have ended.  The loop must run
+   once more to close the connections.  */
 void
 ncl_destroy (struct ncl_client *client)
 {
-  while (client->all->len > 0)
+  while (client->connections->len > 0)
     {
-      close_connection (g_ptr_array_index (client->all, 0));
+      close_connection (g_ptr_array_index (client->connections, 0));
     }
-  g_ptr_array_free (client->all, TRUE);
+  g_ptr_array_free (client->connections, TRUE);
   g_hash_table_destroy (client->idle);
   g_free (client->read_buffer);
   g_free (client);
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -1,5 +1,6 @@
-/* HTTP client connections of one event loop: exchanges one after the other on
-   connections that are kept for reuse, one pool for each address. */
+/* HTTP client for one event loop.  An exchange is one request with its
+   response.  Each connection carries one exchange at a time and is then kept
+   in a pool for its address, to be reused. */
 #ifndef NET_CLIENT_H
 #define NET_CLIENT_H
 
@@ -7,24 +8,26 @@
 
 #include <uv.h>
 
-/* How an exchange failed, seen from the sender. */
+/* Why an exchange failed, as far as the client can tell. */
 enum ncl_failure
 {
   NCL_NOT_CONNECTED, /* no byte of the request was sent */
-  NCL_CUT_OFF,       /* the connection ended or was reset before the end */
-  NCL_MALFORMED,     /* the answer is no HTTP */
-  NCL_FOREIGN        /* the answer belongs to another request */
+  NCL_CUT_OFF,       /* closed or reset before the end of the response */
+  NCL_MALFORMED,     /* the response is not valid HTTP */
+  NCL_FOREIGN        /* the response belongs to another request */
 };
 
 struct ncl_exchange;
 
-/* What happens to one exchange.  After `complete' or `failed' the exchange is
-   over and must not be used. */
+/* The callbacks of one exchange, called from the event loop.  After `complete'
+   or `failed' the exchange must not be used. */
 struct ncl_events
 {
-  /* The status and headers are there.  False ends the exchange as foreign. */
+  /* The status and headers have arrived.  Returning false fails the exchange
+     with NCL_FOREIGN. */
   bool (*headers) (void *context, uint32_t status,
-                   const struct msg_message *answer);
+                   const struct msg_message *response);
+  /* COUNT bytes of the body have arrived.  They are not kept. */
   void (*body) (void *context, const char *bytes, size_t count);
   void (*complete) (void *context);
   void (*failed) (void *context, enum ncl_failure failure);
@@ -32,10 +35,12 @@
 
 struct ncl_params
 {
-  int64_t idle_max_us;    /* an unused connection is kept so long */
-  int64_t idle_margin_us; /* before the other side's own time-out */
+  int64_t idle_max_us; /* how long an idle connection is kept at most */
+  /* Subtracted from the time-out in the server's Keep-Alive header, so that
+     the client closes first. */
+  int64_t idle_margin_us;
   int64_t connect_timeout_us;
-  uint32_t silence_ms;           /* unacknowledged bytes end a connection */
+  uint32_t silence_ms; /* TCP_USER_TIMEOUT: sent bytes not acknowledged */
   uint32_t idle_connections_max; /* for each address */
 };
 
@@ -43,16 +48,17 @@
 
 struct ncl_counts
 {
-  uint64_t connections; /* opened */
-  uint64_t exchanges;   /* begun */
-  uint32_t open;        /* connections now */
+  uint64_t connections; /* opened since the start */
+  uint64_t exchanges;   /* begun since the start */
+  uint32_t open;        /* connections open now */
 };
 
 struct ncl_client *ncl_create (uv_loop_t *loop,
                                const struct ncl_params *params);
 void ncl_destroy (struct ncl_client *client);
 struct ncl_exchange *ncl_send (struct ncl_client *client, const char *address,
-                               const char *bytes, size_t count, bool fresh,
+                               const char *bytes, size_t count,
+                               bool new_connection,
                                const struct ncl_events *events, void *context);
 void ncl_cancel (struct ncl_exchange *exchange);
 void ncl_pause (struct ncl_exchange *exchange);
