--- a/src/net/server.c
+++ b/src/net/server.c
@@ -7,21 +7,22 @@
 #include <netinet/tcp.h>
 #include <string.h>
 
-#define READ_BYTES 65536
-#define BACKLOG 512
+#define READ_BYTES 65536 /* of one read from a socket */
+#define BACKLOG 512      /* connections not accepted yet */
 
-/* Bytes of requests that come before the answer to the one under way. */
-#define EARLY_BYTES_MAX 65536
+/* Limit on the bytes of pipelined requests, which arrive before the response
+   to the current one is complete. */
+#define PIPELINED_BYTES_MAX 65536
 
-/* How long a caller may take to close after the last answer. */
+/* Time for a caller to close its connection after the last response. */
 #define LINGER_US (1 * CLK_S_US)
 
 enum phase
 {
-  PHASE_IDLE,      /* between requests */
-  PHASE_RECEIVING, /* a request has begun */
-  PHASE_ANSWERING, /* the owner has the request */
-  PHASE_LINGERING  /* the last answer is sent */
+  PHASE_IDLE,       /* between requests */
+  PHASE_RECEIVING,  /* a request has begun to arrive */
+  PHASE_RESPONDING, /* the owner is handling the request */
+  PHASE_LINGERING   /* the last response has been sent */
 };
 
 struct nsv_connection
@@ -30,19 +31,19 @@
   struct nsv_server *server;
   http_parser parser;
   struct msg_message request;
-  GByteArray *early; /* bytes after the request under way */
+  GByteArray *pipelined; /* bytes after the current request */
   enum phase phase;
   int64_t since_us; /* start of the phase */
   uint64_t header_bytes;
-  uint32_t refusal; /* status that the request gets once it is read; 0: none */
+  uint32_t error_status; /* response if a limit stops the parser; 0: none */
   void *request_context;
-  bool keep;    /* the caller may send more after this answer */
-  bool chunked; /* the answer under way */
-  bool whole;   /* the request under way has been read */
-  bool in_body; /* the headers of the request under way are read */
+  bool keep_alive;
+  bool chunked;  /* the current response */
+  bool received; /* the current request, completely */
+  bool in_body;  /* the headers of the current request have been received */
   bool closing;
-  bool slow; /* too many bytes wait for the caller */
-  bool parsing;
+  bool slow;    /* more than `unsent_bytes_max' bytes are queued */
+  bool parsing; /* parse is on the call stack */
   uv_shutdown_t shutdown;
 };
 
@@ -54,10 +55,11 @@
   const struct nsv_events *events;
   void *context;
   GPtrArray *connections;
-  uint32_t busy; /* requests that the owner has */
+  uint32_t request_count; /* requests without a complete response */
   char *read_buffer;
-  bool last_answers;     /* no connection is kept after its answer */
-  int64_t idle_until_us; /* idle connections are closed from then on */
+  bool stopping;         /* connections are closed after their response */
+  int64_t idle_until_us; /* when stopping: idle connections are closed from
+                            this monotonic time on */
 };
 
 static int on_message_begin (http_parser *parser);
@@ -85,13 +87,14 @@
 {
   struct nsv_connection *connection = handle->data;
   msg_clear (&connection->request);
-  g_byte_array_free (connection->early, TRUE);
+  g_byte_array_free (connection->pipelined, TRUE);
   g_free (connection);
 }
 
-/* Closes CONNECTION; the owner of a request under way is told when TELL.  */
+/* Closes CONNECTION, with a TCP reset when RESET is true.  Calls `gone' for
+   the current request, if any, when NOTIFY is true.  */
 static void
-close_connection (struct nsv_connection *connection, bool reset, bool tell)
+close_connection (struct nsv_connection *connection, bool reset, bool notify)
 {
   if (connection->closing)
     {
@@ -99,9 +102,9 @@
     }
   connection->closing = true;
   g_ptr_array_remove_fast (connection->server->connections, connection);
-  if (connection->phase == PHASE_ANSWERING)
+  if (connection->phase == PHASE_RESPONDING)
     {
-      connection->server->busy--;
+      connection->server->request_count--;
     }
   void *request_context = connection->request_context;
   connection->request_context = NULL;
@@ -112,7 +115,7 @@
           uv_close ((uv_handle_t *)&connection->tcp, on_closed);
         }
     }
-  if (tell && request_context != NULL)
+  if (notify && request_context != NULL)
     {
       connection->server->events->gone (request_context);
     }
@@ -131,21 +134,22 @@
   struct nsv_connection *connection = parser->data;
   msg_reset (&connection->request);
   connection->header_bytes = 0;
-  connection->refusal = 0;
-  connection->whole = false;
+  connection->error_status = 0;
+  connection->received = false;
   connection->in_body = false;
   enter_phase (connection, PHASE_RECEIVING);
   return 0;
 }
 
-/* Counts COUNT bytes of headers against the limit.  */
+/* Adds COUNT bytes to the size of the headers.  Returns -1, which stops the
+   parser, when the size exceeds its limit, else 0.  */
 static int
 count_header_bytes (struct nsv_connection *connection, size_t count)
 {
   connection->header_bytes += count;
   if (connection->header_bytes > connection->server->limits.header_bytes_max)
     {
-      connection->refusal = HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE;
+      connection->error_status = HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE;
       return -1;
     }
   return 0;
@@ -188,14 +192,14 @@
   if (parser->content_length != ULLONG_MAX
       && parser->content_length > connection->server->limits.body_bytes_max)
     {
-      connection->refusal = HTTP_STATUS_PAYLOAD_TOO_LARGE;
+      connection->error_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
       return -1;
     }
   const char *expect = msg_find (&connection->request, "Expect");
   if (expect != NULL && g_ascii_strcasecmp (expect, "100-continue") == 0)
     {
-      static char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
-      uv_buf_t buffer = uv_buf_init (go_on, sizeof go_on - 1);
+      static char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
+      uv_buf_t buffer = uv_buf_init (interim, sizeof interim - 1);
       write_bytes (connection, &buffer, 1);
     }
   return 0;
@@ -208,7 +212,7 @@
   GByteArray *body = connection->request.body;
   if (body->len + count > connection->server->limits.body_bytes_max)
     {
-      connection->refusal = HTTP_STATUS_PAYLOAD_TOO_LARGE;
+      connection->error_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
       return -1;
     }
   g_byte_array_append (body, (const guint8 *)at, (guint)count);
@@ -219,7 +223,7 @@
 on_message_complete (http_parser *parser)
 {
   struct nsv_connection *connection = parser->data;
-  connection->whole = true;
+  connection->received = true;
   http_parser_pause (parser, 1);
   return 0;
 }
@@ -250,7 +254,8 @@
     }
 }
 
-/* Sends what COUNT BUFFERS hold, at once as far as the socket takes it.  */
+/* Sends the bytes of COUNT BUFFERS; queues a copy of what the socket doesn't
+   accept at once.  */
 static void
 write_bytes (struct nsv_connection *connection, const uv_buf_t *buffers,
              unsigned count)
@@ -288,7 +293,8 @@
                      > connection->server->limits.unsent_bytes_max;
 }
 
-/* Lets CONNECTION's answer leave, then closes it once the caller has.  */
+/* Shuts CONNECTION down for writing once the response has been sent, and waits
+   for the caller to close, at most for LINGER_US.  */
 static void
 linger (struct nsv_connection *connection)
 {
@@ -296,63 +302,66 @@
   uv_shutdown (&connection->shutdown, (uv_stream_t *)&connection->tcp, NULL);
 }
 
-/* Goes on after an answer: with the next request, or towards the end.  */
+/* Called after a complete response: continues with the next request, which may
+   have arrived already, or shuts the connection down.  */
 static void
-finish_answer (struct nsv_connection *connection)
+finish_response (struct nsv_connection *connection)
 {
-  connection->server->busy--;
+  connection->server->request_count--;
   connection->request_context = NULL;
-  if (!connection->keep)
+  if (!connection->keep_alive)
     {
       linger (connection);
       return;
     }
   enter_phase (connection, PHASE_IDLE);
   msg_reset (&connection->request);
-  if (connection->early->len > 0 && !connection->parsing)
+  if (connection->pipelined->len > 0 && !connection->parsing)
     {
-      GByteArray *early = connection->early;
-      connection->early = g_byte_array_new ();
-      parse (connection, (const char *)early->data, early->len);
-      g_byte_array_free (early, TRUE);
+      GByteArray *pipelined = connection->pipelined;
+      connection->pipelined = g_byte_array_new ();
+      parse (connection, (const char *)pipelined->data, pipelined->len);
+      g_byte_array_free (pipelined, TRUE);
     }
 }
 
-/* Answers a request that can't be read, and ends its connection.  */
+/* Responds with the error STATUS to a request that was not received
+   completely, and shuts the connection down.  */
 static void
-refuse_unread (struct nsv_connection *connection, uint32_t status)
+reject_incomplete (struct nsv_connection *connection, uint32_t status)
 {
-  connection->server->busy++;
-  enter_phase (connection, PHASE_ANSWERING);
-  connection->keep = false;
+  connection->server->request_count++;
+  enter_phase (connection, PHASE_RESPONDING);
+  connection->keep_alive = false;
   nsv_answer (connection, status, "", "", 0);
 }
 
-/* Gives the whole request of CONNECTION to the owner.  */
+/* Passes the complete request of CONNECTION to the owner.  */
 static void
-hand_over (struct nsv_connection *connection)
+dispatch_request (struct nsv_connection *connection)
 {
   struct nsv_server *server = connection->server;
-  connection->keep
-      = !server->last_answers && http_should_keep_alive (&connection->parser);
-  enter_phase (connection, PHASE_ANSWERING);
-  server->busy++;
+  connection->keep_alive
+      = !server->stopping && http_should_keep_alive (&connection->parser);
+  enter_phase (connection, PHASE_RESPONDING);
+  server->request_count++;
   server->events->request (server->context, connection, &connection->request,
                            http_method_str (connection->parser.method));
 }
 
-/* Parses COUNT bytes of requests.  What comes after a whole one waits.  */
+/* Parses COUNT bytes of requests.  Bytes after a complete request are kept
+   until its response is complete.  */
 static void
 parse (struct nsv_connection *connection, const char *bytes, size_t count)
 {
   connection->parsing = true;
   while (count > 0 && !connection->closing)
     {
-      if (connection->phase == PHASE_ANSWERING)
+      if (connection->phase == PHASE_RESPONDING)
         {
-          g_byte_array_append (connection->early, (const guint8 *)bytes,
+          g_byte_array_append (connection->pipelined, (const guint8 *)bytes,
                                (guint)count);
-          if (connection->early->len > EARLY_BYTES_MAX)
+          if (connection->pipelined->len > PIPELINED_BYTES_MAX)
             {
               close_connection (connection, true, true);
             }
@@ -366,17 +375,17 @@
                                            &parser_settings, bytes, count);
       bytes += parsed;
       count -= MIN (parsed, count);
-      if (connection->whole)
+      if (connection->received)
         {
-          connection->whole = false;
+          connection->received = false;
           http_parser_pause (&connection->parser, 0);
-          hand_over (connection);
+          dispatch_request (connection);
         }
       else if (HTTP_PARSER_ERRNO (&connection->parser) != HPE_OK)
         {
-          refuse_unread (connection, connection->refusal != 0
-                                         ? connection->refusal
-                                         : HTTP_STATUS_BAD_REQUEST);
+          reject_incomplete (connection, connection->error_status != 0
+                                             ? connection->error_status
+                                             : HTTP_STATUS_BAD_REQUEST);
           break;
         }
     }
@@ -407,6 +416,7 @@
   parse (connection, buffer->base, (size_t)count);
 }
 
+/* Accepts a connection, and resets it when there are too many.  */
 static void
 on_connection (uv_stream_t *listener, int status)
 {
@@ -418,7 +428,7 @@
   struct nsv_connection *connection = g_new0 (struct nsv_connection, 1);
   connection->server = server;
   connection->tcp.data = connection;
-  connection->early = g_byte_array_new ();
+  connection->pipelined = g_byte_array_new ();
   msg_init (&connection->request);
   http_parser_init (&connection->parser, HTTP_REQUEST);
   connection->parser.data = connection;
@@ -442,8 +452,9 @@
   uv_read_start ((uv_stream_t *)&connection->tcp, on_alloc, on_read);
 }
 
-/* Creates a server that listens on ADDRESS, IP:PORT.  Returns NULL with
-   ERR_SETTINGS when it can't.  LOOP must run in the calling thread.  */
+/* Creates a server that listens on ADDRESS, IP:PORT.  Returns NULL and sets
+   ERROR to ERR_SETTINGS when it can't.  LOOP must run in the calling thread.
+   EVENTS must outlive the server.  */
 struct nsv_server *
 nsv_create (uv_loop_t *loop, const char *address,
             const struct nsv_limits *limits, const struct nsv_events *events,
@@ -489,7 +500,8 @@
   g_free (server);
 }
 
-/* Closes SERVER and its connections; the loop must run once more.  */
+/* Closes the connections of SERVER, which may be NULL, and frees it.  The loop
+   must run once more.  */
 void
 nsv_destroy (struct nsv_server *server)
 {
@@ -505,29 +517,31 @@
   uv_close ((uv_handle_t *)&server->listener, on_listener_closed);
 }
 
-/* Sets LIMITS for the requests to come.  */
+/* Replaces the limits of SERVER.  Open connections keep `silence_ms'.  */
 void
 nsv_set_limits (struct nsv_server *server, const struct nsv_limits *limits)
 {
   server->limits = *limits;
 }
 
-/* Keeps no connection after its answer from now on, and closes those that are
-   idle from IDLE_UNTIL_US on.  */
+/* Disables keep-alive, to stop the server: every connection is closed
+   after its next response, and idle ones once IDLE_UNTIL_US, monotonic time,
+   is reached.  */
 void
 nsv_stop_keeping (struct nsv_server *server, int64_t idle_until_us)
 {
-  server->last_answers = true;
+  server->stopping = true;
   server->idle_until_us = idle_until_us;
   for (guint i = 0; i < server->connections->len; i++)
     {
       struct nsv_connection *connection
           = g_ptr_array_index (server->connections, i);
-      connection->keep = false;
+      connection->keep_alive = false;
     }
 }
 
-/* Closes connections whose time is over.  Called some times a second.  */
+/* Closes connections that have exceeded their time-outs.  NOW_US is monotonic
+   time.  To be called several times a second.  */
 void
 nsv_expire (struct nsv_server *server, int64_t now_us)
 {
@@ -536,11 +550,11 @@
       struct nsv_connection *connection
           = g_ptr_array_index (server->connections, i);
       int64_t age_us = now_us - connection->since_us;
-      bool last = server->last_answers && now_us >= server->idle_until_us;
+      bool stop_idle = server->stopping && now_us >= server->idle_until_us;
       switch (connection->phase)
         {
         case PHASE_IDLE:
-          if (last || age_us >= server->limits.idle_timeout_us)
+          if (stop_idle || age_us >= server->limits.idle_timeout_us)
             {
               linger (connection);
             }
@@ -550,7 +564,7 @@
                              ? server->limits.idle_timeout_us
                              : server->limits.header_timeout_us))
             {
-              refuse_unread (connection, HTTP_STATUS_REQUEST_TIMEOUT);
+              reject_incomplete (connection, HTTP_STATUS_REQUEST_TIMEOUT);
             }
           break;
         case PHASE_LINGERING:
@@ -559,7 +573,7 @@
               close_connection (connection, false, false);
             }
           break;
-        case PHASE_ANSWERING:
+        case PHASE_RESPONDING:
           break;
         }
     }
@@ -572,35 +586,35 @@
   return server->connections->len;
 }
 
-/* Returns the number of requests that the owner hasn't answered.  */
+/* Returns the number of requests without a complete response.  */
 uint32_t
 nsv_busy (const struct nsv_server *server)
 {
-  return server->busy;
+  return server->request_count;
 }
 
-/* Sets what `gone' and `drained' get for the request under way.  */
+/* Sets the context of `gone' and `drained' for the current request.  */
 void
 nsv_bind (struct nsv_connection *connection, void *request_context)
 {
   connection->request_context = request_context;
 }
 
-/* Writes the start line and HEADERS, each of which ends with CRLF.  */
+/* Appends the status line and HEADERS, each of which ends with CRLF.  */
 static void
 append_head (struct nsv_connection *connection, GString *head, uint32_t status,
              const char *headers)
 {
   g_string_append_printf (head, "HTTP/1.1 %u %s\r\n%s", status,
                           msg_reason (status), headers);
-  if (!connection->keep)
+  if (!connection->keep_alive)
     {
       g_string_append (head, "Connection: close\r\n");
     }
 }
 
-/* Answers the request under way with STATUS, HEADERS, each of which ends with
-   CRLF, and the whole body.  */
+/* Sends the complete response to the current request: STATUS, HEADERS, each of
+   which ends with CRLF, and the body.  */
 void
 nsv_answer (struct nsv_connection *connection, uint32_t status,
             const char *headers, const void *body, size_t body_bytes)
@@ -618,18 +632,19 @@
   };
   write_bytes (connection, buffers, body_bytes > 0 ? 2 : 1);
   g_string_free (head, TRUE);
-  finish_answer (connection);
+  finish_response (connection);
 }
 
-/* Begins an answer that comes in pieces: CHUNKED, or else ended only by the
-   end of the connection, which doesn't vouch for its completeness.  */
+/* Begins a response whose body is sent with nsv_piece.  Unless CHUNKED, only
+   the end of the connection ends the body, so that the caller can't tell
+   whether the response is complete.  */
 void
 nsv_begin (struct nsv_connection *connection, uint32_t status,
            const char *headers, bool chunked)
 {
   GString *head = g_string_sized_new (512);
   connection->chunked = chunked;
-  connection->keep &= chunked;
+  connection->keep_alive &= chunked;
   append_head (connection, head, status, headers);
   g_string_append (head,
                    chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n");
@@ -638,7 +653,8 @@
   g_string_free (head, TRUE);
 }
 
-/* Sends COUNT bytes, at least one, of the answer that was begun.  */
+/* Sends COUNT bytes of the body of a response that was begun.  COUNT must not
+   be 0, which would end a chunked body.  */
 void
 nsv_piece (struct nsv_connection *connection, const void *bytes, size_t count)
 {
@@ -660,7 +676,7 @@
     }
 }
 
-/* Ends the answer that was begun as complete.  */
+/* Ends a response that was begun, as complete.  */
 void
 nsv_end (struct nsv_connection *connection)
 {
@@ -670,10 +686,11 @@
     {
       write_bytes (connection, &buffer, 1);
     }
-  finish_answer (connection);
+  finish_response (connection);
 }
 
-/* Ends the connection so that an answer that was begun is seen to be torn.  */
+/* Resets the connection, so that the caller detects that the response that was
+   begun is incomplete.  Calls no event.  */
 void
 nsv_abort (struct nsv_connection *connection)
 {
@@ -681,8 +698,8 @@
   close_connection (connection, true, false);
 }
 
-/* True while more bytes wait for the caller than the limit allows.  `drained'
-   tells the end.  */
+/* Returns true once more than `unsent_bytes_max' bytes are queued for the
+   caller, until all of them have been sent; `drained' is called then.  */
 bool
 nsv_is_slow (const struct nsv_connection *connection)
 {
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,5 +1,6 @@
-/* HTTP server connections of one event loop: one request at a time on each,
-   its whole body first, then an answer in one piece or in chunks. */
+/* HTTP server for one event loop.  Each connection handles one request at a
+   time: the request is read completely, then its owner, the user of this
+   module, responds, either at once or in chunks. */
 #ifndef NET_SERVER_H
 #define NET_SERVER_H
 
@@ -10,15 +11,19 @@
 struct nsv_server;
 struct nsv_connection;
 
-/* What a server tells its owner. */
+/* The callbacks of a server, called from the event loop. */
 struct nsv_events
 {
-  /* A whole request is there, its path in `request->url'. */
+  /* A complete request has arrived.  REQUEST is valid until the response is
+     complete; its `url' holds the path and the query.  The owner must respond
+     with nsv_answer, or with nsv_begin and then nsv_end or nsv_abort. */
   void (*request) (void *context, struct nsv_connection *connection,
                    const struct msg_message *request, const char *method);
-  /* The caller of the request under way has closed its connection. */
+  /* The connection was closed before the response was complete.  Called with
+     the context of nsv_bind, and only if that was called. */
   void (*gone) (void *request_context);
-  /* Everything that was sent has left; only after nsv_is_slow was true. */
+  /* The socket has accepted all pending bytes, after nsv_is_slow returned
+     true.  Called with the context of nsv_bind. */
   void (*drained) (void *request_context);
 };
 
@@ -26,11 +31,11 @@
 {
   uint32_t header_bytes_max;
   uint64_t body_bytes_max;
-  int64_t header_timeout_us;
-  int64_t idle_timeout_us;
-  uint32_t unsent_bytes_max; /* of one connection, before it counts as slow */
-  uint32_t silence_ms;       /* unacknowledged bytes end a connection */
-  uint32_t connections_max;
+  int64_t header_timeout_us; /* to receive the headers of a request */
+  int64_t idle_timeout_us;   /* between requests, and to receive a body */
+  uint32_t unsent_bytes_max; /* of one connection; above it is slow */
+  uint32_t silence_ms;      /* TCP_USER_TIMEOUT: sent bytes not acknowledged */
+  uint32_t connections_max; /* further ones are reset */
 };
 
 struct nsv_server *nsv_create (uv_loop_t *loop, const char *address,
