--- a/test/caller_test.c
+++ b/test/caller_test.c
@@ -1,4 +1,6 @@
-/* Contract of the caller interface, against a backend of the test. */
+/* Tests the HTTP server for callers over real connections, with a backend that
+   returns fixed results: statuses, bodies and headers of the responses, and
+   input that is not valid HTTP. */
 #include "base/clock.h"
 #include "caller/caller.h"
 
@@ -12,9 +14,10 @@
 
 #include <cmocka.h>
 
-#define BODY_MAX 4096
-#define GOOD "Authorization: Bearer good\r\n"
-#define CHAT                                                                  \
+#define BODY_BYTES_MAX 4096
+#define AUTHORIZATION "Authorization: Bearer good\r\n"
+/* A chat completion request without its closing brace. */
+#define CHAT_REQUEST                                                          \
   "{\"model\":\"draft\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]"
 
 static bool
@@ -41,8 +44,8 @@
   return true;
 }
 
-/* Answers three tokens; the model `broken' fails after the first one, `full'
-   before it.  */
+/* Generates three tokens.  The model `broken' fails after the first token, the
+   model `full' before it.  */
 static bool
 run_draft (void *user_data, const struct cal_account *account,
            const struct cal_terms *terms, const struct cal_draft *draft,
@@ -117,7 +120,7 @@
 }
 
 static void
-no_thread (void *user_data)
+ignore_thread (void *user_data)
 {
   (void)user_data;
 }
@@ -129,169 +132,177 @@
   .call_service = call_service,
   .lookup_key = lookup_key,
   .list_models = list_models,
-  .thread_begins = no_thread,
-  .thread_ends = no_thread,
+  .thread_begins = ignore_thread,
+  .thread_ends = ignore_thread,
 };
 
-struct server
+struct fixture
 {
   struct cnt_set *counters;
-  struct cal_server *http;
+  struct cal_server *server;
 };
 
 static int
 set_up (void **state)
 {
-  struct server *server = g_new0 (struct server, 1);
-  server->counters = cnt_set_create ();
+  struct fixture *fixture = g_new0 (struct fixture, 1);
+  fixture->counters = cnt_set_create ();
   struct cal_params params = {
     .address = "127.0.0.1:0",
     .threads = 4,
     .timeout_ms = 500,
-    .body_bytes_max = BODY_MAX,
+    .body_bytes_max = BODY_BYTES_MAX,
     .default_deadline_us = CLK_S_US,
-    .counters = server->counters,
+    .counters = fixture->counters,
     .backend = &backend,
   };
-  server->http = cal_server_create (&params, NULL);
-  *state = server;
-  return server->http == NULL;
+  fixture->server = cal_server_create (&params, NULL);
+  *state = fixture;
+  return fixture->server == NULL;
 }
 
 static int
 tear_down (void **state)
 {
-  struct server *server = *state;
-  cal_server_destroy (server->http);
-  cnt_set_destroy (server->counters);
-  g_free (server);
+  struct fixture *fixture = *state;
+  cal_server_destroy (fixture->server);
+  cnt_set_destroy (fixture->counters);
+  g_free (fixture);
   return 0;
 }
 
-/* Sends BYTES on a new connection and returns all that comes back until the
-   server closes it or nothing comes for two seconds.  */
+/* Sends BYTES on a new connection and returns everything received until the
+   server closes the connection or sends nothing for two seconds.  */
 static char *
-exchange (const struct server *server, const char *bytes, size_t count)
+send_and_receive (const struct fixture *fixture, const char *bytes,
+                  size_t count)
 {
   struct sockaddr_in address = {
     .sin_family = AF_INET,
-    .sin_port = htons (cal_server_port (server->http)),
+    .sin_port = htons (cal_server_port (fixture->server)),
     .sin_addr.s_addr = htonl (INADDR_LOOPBACK),
   };
-  const struct timeval patience = { .tv_sec = 2 };
+  const struct timeval timeout = { .tv_sec = 2 };
   int fd = socket (AF_INET, SOCK_STREAM, 0);
-  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   assert_int_equal (connect (fd, (struct sockaddr *)&address, sizeof address),
                     0);
   ssize_t sent = send (fd, bytes, count, MSG_NOSIGNAL);
   (void)sent;
-  GString *answer = g_string_new (NULL);
+  GString *response = g_string_new (NULL);
   char part[4096];
-  ssize_t got = recv (fd, part, sizeof part, 0);
-  while (got > 0)
+  ssize_t received = recv (fd, part, sizeof part, 0);
+  while (received > 0)
     {
-      g_string_append_len (answer, part, got);
-      got = recv (fd, part, sizeof part, 0);
+      g_string_append_len (response, part, received);
+      received = recv (fd, part, sizeof part, 0);
     }
   close (fd);
-  return g_string_free (answer, FALSE);
+  return g_string_free (response, FALSE);
 }
 
-struct contract_case
+struct response_case
 {
   const char *name;
   const char *line; /* method and path */
   const char *headers;
   const char *body;
   const char *status;   /* start of the status line after HTTP/1.1 */
-  const char *expected; /* stands in the answer */
+  const char *expected; /* a part of the response */
 };
 
-static const struct contract_case contract_cases[] = {
-  { "whole chat answer", "POST /v1/chat/completions", GOOD, CHAT "}", "200",
-    "\"content\":\"a b c \"" },
-  { "usage", "POST /v1/chat/completions", GOOD, CHAT "}", "200",
-    "\"total_tokens\":4" },
-  { "streamed chat ends in DONE", "POST /v1/chat/completions", GOOD,
-    CHAT ",\"stream\":true}", "200", "data: [DONE]" },
-  { "plain completion", "POST /v1/completions", GOOD,
+static const struct response_case response_cases[] = {
+  { "complete chat response", "POST /v1/chat/completions", AUTHORIZATION,
+    CHAT_REQUEST "}", "200", "\"content\":\"a b c \"" },
+  { "usage", "POST /v1/chat/completions", AUTHORIZATION, CHAT_REQUEST "}",
+    "200", "\"total_tokens\":4" },
+  { "streamed chat response ends with [DONE]", "POST /v1/chat/completions",
+    AUTHORIZATION, CHAT_REQUEST ",\"stream\":true}", "200", "data: [DONE]" },
+  { "text completion", "POST /v1/completions", AUTHORIZATION,
     "{\"model\":\"draft\",\"prompt\":\"x\"}", "200", "\"text\":\"a b c \"" },
-  { "no capacity says when to come back", "POST /v1/completions", GOOD,
+  { "no capacity sends Retry-After", "POST /v1/completions", AUTHORIZATION,
     "{\"model\":\"full\",\"prompt\":\"x\"}", "503", "Retry-After: 2" },
-  { "no capacity did not run", "POST /v1/completions", GOOD,
-    "{\"model\":\"full\",\"prompt\":\"x\"}", "503", "\"ran\":\"no\"" },
+  { "no capacity reports that the request did not run", "POST /v1/completions",
+    AUTHORIZATION, "{\"model\":\"full\",\"prompt\":\"x\"}", "503",
+    "\"ran\":\"no\"" },
   { "no token", "POST /v1/completions", "", "{}", "401", "unauthorized" },
   { "wrong token", "POST /v1/completions", "Authorization: Bearer bad\r\n",
     "{}", "401", "unauthorized" },
-  { "not JSON", "POST /v1/completions", GOOD, "{", "400", "bad_request" },
-  { "duplicate member", "POST /v1/completions", GOOD,
+  { "not JSON", "POST /v1/completions", AUTHORIZATION, "{", "400",
+    "bad_request" },
+  { "duplicate member of a JSON object", "POST /v1/completions", AUTHORIZATION,
     "{\"model\":\"a\",\"model\":\"b\",\"prompt\":\"\"}", "400",
     "bad_request" },
-  { "no model", "POST /v1/completions", GOOD, "{\"prompt\":\"x\"}", "400",
-    "model:" },
-  { "empty model", "POST /v1/chat/completions", GOOD,
+  { "no model", "POST /v1/completions", AUTHORIZATION, "{\"prompt\":\"x\"}",
+    "400", "model:" },
+  { "empty model", "POST /v1/chat/completions", AUTHORIZATION,
     "{\"model\":\"\",\"messages\":[]}", "400", "model:" },
-  { "no messages", "POST /v1/chat/completions", GOOD,
+  { "no messages", "POST /v1/chat/completions", AUTHORIZATION,
     "{\"model\":\"draft\",\"messages\":[]}", "400", "messages:" },
-  { "max_tokens below one", "POST /v1/completions", GOOD,
+  { "max_tokens below one", "POST /v1/completions", AUTHORIZATION,
     "{\"model\":\"draft\",\"prompt\":\"x\",\"max_tokens\":0}", "400",
     "max_tokens:" },
-  { "bad deadline", "POST /v1/completions", GOOD "X-Deadline-Ms: soon\r\n",
-    "{}", "400", "X-Deadline-Ms" },
-  { "bad priority", "POST /v1/completions", GOOD "X-Priority: 9\r\n", "{}",
-    "400", "X-Priority" },
-  { "unknown path", "GET /v2/nothing", GOOD, "", "404", "not_found" },
-  { "unknown service", "GET /v1/services/none/x", GOOD, "", "404",
+  { "bad deadline", "POST /v1/completions",
+    AUTHORIZATION "X-Deadline-Ms: soon\r\n", "{}", "400", "X-Deadline-Ms" },
+  { "bad priority", "POST /v1/completions", AUTHORIZATION "X-Priority: 9\r\n",
+    "{}", "400", "X-Priority" },
+  { "unknown path", "GET /v2/nothing", AUTHORIZATION, "", "404", "not_found" },
+  { "unknown service", "GET /v1/services/none/x", AUTHORIZATION, "", "404",
     "not_found" },
-  { "service call passes path, query and key",
-    "POST /v1/services/bookings/book?a=1", GOOD "Idempotency-Key: k1\r\n",
-    "{}", "201", "POST /book?a=1 k1" },
-  { "key of another account or unknown", "GET /v1/requests/other", GOOD, "",
-    "404", "not_found" },
-  { "key known", "GET /v1/requests/known", GOOD, "", "200",
+  { "service call forwards path, query and key",
+    "POST /v1/services/bookings/book?a=1",
+    AUTHORIZATION "Idempotency-Key: k1\r\n", "{}", "201",
+    "POST /book?a=1 k1" },
+  { "key that is unknown or of another account", "GET /v1/requests/other",
+    AUTHORIZATION, "", "404", "not_found" },
+  { "known key", "GET /v1/requests/known", AUTHORIZATION, "", "200",
     "\"ran\":\"yes\"" },
-  { "health needs no token", "GET /healthz", "", "", "200", "ok" },
-  { "ready needs no token", "GET /readyz", "", "", "200", "ready" },
+  { "/healthz requires no token", "GET /healthz", "", "", "200", "ok" },
+  { "/readyz requires no token", "GET /readyz", "", "", "200", "ready" },
 };
 
 static void
-answers_by_the_contract (void **state)
+responds_as_specified (void **state)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (contract_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (response_cases); i++)
     {
-      const struct contract_case *row = &contract_cases[i];
+      const struct response_case *row = &response_cases[i];
       g_autofree char *request = g_strdup_printf (
           "%s HTTP/1.1\r\nHost: x\r\n%sConnection: close\r\n"
           "Content-Length: %zu\r\n\r\n%s",
           row->line, row->headers, strlen (row->body), row->body);
-      g_autofree char *answer = exchange (*state, request, strlen (request));
+      g_autofree char *response
+          = send_and_receive (*state, request, strlen (request));
       g_autofree char *status = g_strdup_printf ("HTTP/1.1 %s", row->status);
-      if (!g_str_has_prefix (answer, status)
-          || strstr (answer, row->expected) == NULL)
+      if (!g_str_has_prefix (response, status)
+          || strstr (response, row->expected) == NULL)
         {
-          fail_msg ("%s: got %s", row->name, answer);
+          fail_msg ("%s: got %s", row->name, response);
         }
     }
 }
 
-/* A stream that fails after its first token has no [DONE].  */
+/* A stream that fails after its first token ends with an error event and
+   without [DONE], so that the caller detects that the text is incomplete.  */
 static void
-broken_stream_ends_without_done (void **state)
+failed_stream_ends_without_done (void **state)
 {
   static const char body[]
       = "{\"model\":\"broken\",\"prompt\":\"x\",\"stream\":true}";
-  g_autofree char *request
-      = g_strdup_printf ("POST /v1/completions HTTP/1.1\r\nHost: x\r\n" GOOD
-                         "Connection: close\r\nContent-Length: %zu\r\n\r\n%s",
-                         sizeof body - 1, body);
-  g_autofree char *answer = exchange (*state, request, strlen (request));
-  assert_non_null (strstr (answer, "\"text\":\"a \""));
-  assert_non_null (strstr (answer, "endpoint_failed"));
-  assert_null (strstr (answer, "[DONE]"));
+  g_autofree char *request = g_strdup_printf (
+      "POST /v1/completions HTTP/1.1\r\nHost: x\r\n" AUTHORIZATION
+      "Connection: close\r\nContent-Length: %zu\r\n\r\n%s",
+      sizeof body - 1, body);
+  g_autofree char *response
+      = send_and_receive (*state, request, strlen (request));
+  assert_non_null (strstr (response, "\"text\":\"a \""));
+  assert_non_null (strstr (response, "endpoint_failed"));
+  assert_null (strstr (response, "[DONE]"));
 }
 
-/* Input that is not a request of the interface. */
-struct hostile_case
+/* Input that is not a valid request: `start', then `filler_bytes' times
+   `filler'. */
+struct invalid_case
 {
   const char *name;
   const char *start;
@@ -299,43 +310,48 @@
   size_t filler_bytes;
 };
 
-static const struct hostile_case hostile_cases[] = {
+static const struct invalid_case invalid_cases[] = {
   { "binary", "\x16\x03\x01\x02", '\xff', 200 },
   { "endless request line", "GET /", 'a', 40000 },
   { "endless header", "GET / HTTP/1.1\r\nX: ", 'a', 40000 },
-  { "body over the bound",
-    "POST /v1/completions HTTP/1.1\r\n" GOOD "Content-Length: 9999\r\n\r\n",
+  { "body above the limit",
+    "POST /v1/completions HTTP/1.1\r\n" AUTHORIZATION
+    "Content-Length: 9999\r\n\r\n",
     'a', 9999 },
-  { "body that never comes",
-    "POST /v1/completions HTTP/1.1\r\n" GOOD "Content-Length: 50\r\n\r\n", 'a',
-    3 },
+  { "incomplete body",
+    "POST /v1/completions HTTP/1.1\r\n" AUTHORIZATION
+    "Content-Length: 50\r\n\r\n",
+    'a', 3 },
   { "negative length",
-    "POST /v1/completions HTTP/1.1\r\n" GOOD "Content-Length: -5\r\n\r\n", 'a',
-    3 },
-  { "nothing", "", 'a', 0 },
+    "POST /v1/completions HTTP/1.1\r\n" AUTHORIZATION
+    "Content-Length: -5\r\n\r\n",
+    'a', 3 },
+  { "no bytes", "", 'a', 0 },
 };
 
-/* Hostile input ends in an error or a closed connection, and the next request
-   is answered.  */
+/* Invalid input gets an error or a closed connection, and the next request
+   succeeds.  */
 static void
-survives_hostile_input (void **state)
+survives_invalid_input (void **state)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (hostile_cases); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (invalid_cases); i++)
     {
-      const struct hostile_case *row = &hostile_cases[i];
+      const struct invalid_case *row = &invalid_cases[i];
       GString *bytes = g_string_new (row->start);
       for (size_t j = 0; j < row->filler_bytes; j++)
         {
           g_string_append_c (bytes, row->filler);
         }
-      g_autofree char *answer = exchange (*state, bytes->str, bytes->len);
-      if (g_str_has_prefix (answer, "HTTP/1.1 2"))
+      g_autofree char *response
+          = send_and_receive (*state, bytes->str, bytes->len);
+      if (g_str_has_prefix (response, "HTTP/1.1 2"))
         {
-          fail_msg ("%s: got %s", row->name, answer);
+          fail_msg ("%s: got %s", row->name, response);
         }
       static const char health[]
           = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-      g_autofree char *after = exchange (*state, health, sizeof health - 1);
+      g_autofree char *after
+          = send_and_receive (*state, health, sizeof health - 1);
       assert_true (g_str_has_prefix (after, "HTTP/1.1 200"));
       g_string_free (bytes, TRUE);
     }
@@ -345,9 +361,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (answers_by_the_contract),
-    cmocka_unit_test (broken_stream_ends_without_done),
-    cmocka_unit_test (survives_hostile_input),
+    cmocka_unit_test (responds_as_specified),
+    cmocka_unit_test (failed_stream_ends_without_done),
+    cmocka_unit_test (survives_invalid_input),
   };
   return cmocka_run_group_tests (tests, set_up, tear_down);
 }
--- a/test/event_scan_test.c
+++ b/test/event_scan_test.c
@@ -1,3 +1,5 @@
+/* Tests the scanner of server-sent events on streams that are split, resumed
+   or incomplete. */
 #include "net/event_scan.h"
 
 #include <setjmp.h>
@@ -12,10 +14,10 @@
 struct row
 {
   const char *name;
-  int64_t last_id;
-  const char *pieces[PIECES_MAX]; /* a "" restarts the scan */
-  const char *want;               /* whole events that were passed on */
-  size_t pending;
+  int64_t last_id;                /* of the scanner at the start */
+  const char *pieces[PIECES_MAX]; /* "": call evs_restart */
+  const char *expected;           /* events that are passed on */
+  size_t pending;                 /* bytes; not checked if out of order */
   bool out_of_order;
 };
 
@@ -32,44 +34,44 @@
     "id: 1\ndata: a\n\n",
     0,
     false },
-  { "an unfinished event waits",
+  { "an incomplete event is kept",
     -1,
     { "id: 1\ndata: a\n\nid: 2\ndata" },
     "id: 1\ndata: a\n\n",
     10,
     false },
-  { "a resumed stream drops the unfinished event",
+  { "a resumed stream discards the incomplete event",
     -1,
     { "id: 1\ndata: a\n\nid: 2\nda", "", "id: 2\ndata: b\n\n" },
     "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
     0,
     false },
-  { "a resumed stream that begins too early repeats nothing",
+  { "events that a resumed stream repeats are discarded",
     -1,
     { "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "",
       "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n" },
     "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n",
     0,
     false },
-  { "an event that is missing ends the scan",
+  { "a missing event ends the scan",
     -1,
     { "id: 1\ndata: a\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n" },
     "id: 1\ndata: a\n\n",
     0,
     true },
-  { "the caller resumes at its last event",
+  { "the caller resumes after its last event",
     4,
     { "id: 5\ndata: a\n\n" },
     "id: 5\ndata: a\n\n",
     0,
     false },
-  { "line ends with carriage returns",
+  { "lines that end with CRLF",
     -1,
     { "id: 1\r\ndata: a\r\n\r\n" },
     "id: 1\r\ndata: a\r\n\r\n",
     0,
     false },
-  { "events without ids pass",
+  { "events without ids are passed on",
     -1,
     { "data: a\n\ndata: b\n\n" },
     "data: a\n\ndata: b\n\n",
@@ -84,7 +86,7 @@
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
       struct evs_scanner scanner;
-      GByteArray *whole = g_byte_array_new ();
+      GByteArray *complete = g_byte_array_new ();
       evs_init (&scanner);
       scanner.last_id = rows[i].last_id;
       for (size_t n = 0; n < PIECES_MAX && rows[i].pieces[n] != NULL; n++)
@@ -94,25 +96,25 @@
             {
               evs_restart (&scanner);
             }
-          evs_feed (&scanner, piece, strlen (piece), whole);
+          evs_feed (&scanner, piece, strlen (piece), complete);
         }
-      g_byte_array_append (whole, (const guint8 *)"", 1);
-      if (strcmp ((const char *)whole->data, rows[i].want) != 0
+      g_byte_array_append (complete, (const guint8 *)"", 1);
+      if (strcmp ((const char *)complete->data, rows[i].expected) != 0
           || scanner.out_of_order != rows[i].out_of_order
           || (!scanner.out_of_order
               && scanner.pending->len != rows[i].pending))
         {
-          fail_msg ("%s: '%s', %u pending", rows[i].name, whole->data,
+          fail_msg ("%s: '%s', %u pending", rows[i].name, complete->data,
                     scanner.pending->len);
         }
-      g_byte_array_free (whole, TRUE);
+      g_byte_array_free (complete, TRUE);
       evs_clear (&scanner);
     }
 }
 
-/* However the bytes are cut, the same whole events come out.  */
+/* The same events are passed on wherever the stream is split in three.  */
 static void
-test_every_cut (void **state)
+test_every_split (void **state)
 {
   (void)state;
   static const char text[]
@@ -122,15 +124,15 @@
       for (size_t second = first; second <= strlen (text); second++)
         {
           struct evs_scanner scanner;
-          GByteArray *whole = g_byte_array_new ();
+          GByteArray *complete = g_byte_array_new ();
           evs_init (&scanner);
-          evs_feed (&scanner, text, first, whole);
-          evs_feed (&scanner, text + first, second - first, whole);
-          evs_feed (&scanner, text + second, strlen (text) - second, whole);
-          assert_int_equal (whole->len, strlen (text));
-          assert_memory_equal (whole->data, text, whole->len);
+          evs_feed (&scanner, text, first, complete);
+          evs_feed (&scanner, text + first, second - first, complete);
+          evs_feed (&scanner, text + second, strlen (text) - second, complete);
+          assert_int_equal (complete->len, strlen (text));
+          assert_memory_equal (complete->data, text, complete->len);
           assert_int_equal (scanner.last_id, 3);
-          g_byte_array_free (whole, TRUE);
+          g_byte_array_free (complete, TRUE);
           evs_clear (&scanner);
         }
     }
@@ -141,7 +143,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_scan),
-    cmocka_unit_test (test_every_cut),
+    cmocka_unit_test (test_every_split),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
