--- a/src/caller/caller.h
+++ b/src/caller/caller.h
@@ -45,7 +45,7 @@
   const char *service;
   const char *method;
   const char *path; /* after the name of the service, with the query */
-  const char *body;
+  const char *body; /* NULL: none */
   size_t body_bytes;
   const char *content_type;
   const char *key; /* Idempotency-Key; NULL: none */
@@ -56,7 +56,7 @@
 {
   uint16_t status;
   char content_type[64];
-  GString *body; /* owned by the caller */
+  GString *body; /* to be freed by the server */
 };
 
 /* How a completion ended. */
@@ -66,11 +66,11 @@
   uint32_t tokens; /* generated */
   bool ended;      /* by the model; false: by max_tokens */
   uint32_t attempts;
-  char *path; /* the endpoints that ran it; owned by the caller */
+  char *path; /* the endpoints that ran it; to be freed by the server */
 };
 
 /* Receives the TEXT of each generated token.  Returns false when the caller
-   has disconnected.  */
+   has disconnected.  NOW_US is monotonic time. */
 typedef bool (*cal_on_token) (const char *text, int64_t now_us,
                               void *user_data);
 
@@ -98,11 +98,11 @@
                         struct cal_service_answer *answer,
                         struct err_failure *failure);
   /* Sets OUTCOME to the JSON text of what is known of the request with the
-     idempotency key KEY, owned by the caller. */
+     idempotency key KEY, to be freed by the server. */
   bool (*lookup_key) (void *user_data, const struct cal_account *account,
                       const char *key, char **outcome,
                       struct err_failure *failure);
-  /* Sets MODELS to the JSON list of the models, owned by the caller. */
+  /* Sets MODELS to the JSON list of the models, to be freed by the server. */
   bool (*list_models) (void *user_data, char **models,
                        struct err_failure *failure);
   /* Called at the start and at the end of each thread of the server. */
--- a/src/caller/chat.c
+++ b/src/caller/chat.c
@@ -15,7 +15,7 @@
   GString *text; /* generated so far; unused by a streamed response */
 };
 
-/* Returns the JSON of one streamed event, owned by the caller.  TEXT and
+/* Returns the JSON of one streamed event, to be freed with free.  TEXT and
    FINISH_REASON may be NULL.  */
 static char *
 event_json (const struct response *response, const char *text,
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -562,7 +562,7 @@
 
 /* Closes the idle connections to ADDRESS, whose server no longer exists.  */
 void
-ncl_forget (struct ncl_client *client, const char *address)
+ncl_close_idle (struct ncl_client *client, const char *address)
 {
   GPtrArray *list = g_hash_table_lookup (client->idle, address);
   while (list != NULL && list->len > 0)
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -66,6 +66,6 @@
 bool ncl_ends_with_connection (const struct ncl_exchange *exchange);
 const struct ncl_counts *ncl_counts (const struct ncl_client *client);
 void ncl_expire (struct ncl_client *client, int64_t now_us);
-void ncl_forget (struct ncl_client *client, const char *address);
+void ncl_close_idle (struct ncl_client *client, const char *address);
 
 #endif
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -33,8 +33,8 @@
   struct msg_message request;
   GByteArray *pipelined; /* bytes after the current request */
   enum phase phase;
-  int64_t since_us; /* start of the phase */
-  uint64_t header_bytes;
+  int64_t since_us;      /* start of the phase, monotonic time */
+  uint64_t header_bytes; /* of the current request, including the URL */
   uint32_t error_status; /* response if a limit stops the parser; 0: none */
   void *request_context;
   bool keep_alive;
