--- a/src/caller/draft_body.c
+++ b/src/caller/draft_body.c
@@ -47,7 +47,7 @@
 {
   if (!json_is_array (messages) || json_array_size (messages) == 0)
     {
-      return reject (failure, "messages: a non-empty array is required");
+      return reject (failure, "messages: a non-empty array is needed");
     }
   GString *prompt = g_string_new (NULL);
   bool valid = true;
@@ -71,7 +71,7 @@
   }
   draft->prompt = g_string_free (prompt, FALSE);
   return valid ? true
-               : reject (failure, "messages: each requires role and content");
+               : reject (failure, "messages: each needs role and content");
 }
 
 /* Reads the optional max_completion_tokens, or else the older max_tokens.  */
@@ -91,7 +91,7 @@
   json_int_t count = json_integer_value (value);
   if (!json_is_integer (value) || count < 1 || count > INT32_MAX)
     {
-      return reject (failure, "max_tokens: a positive integer is required");
+      return reject (failure, "max_tokens: a whole number above 0 is needed");
     }
   draft->max_tokens = (uint32_t)count;
   return true;
@@ -106,12 +106,12 @@
   if (model == NULL || model[0] == '\0'
       || strlen (model) >= sizeof draft->model)
     {
-      return reject (failure, "model: the name of a model is required");
+      return reject (failure, "model: a name of a model is needed");
     }
   g_strlcpy (draft->model, model, sizeof draft->model);
   if (stream != NULL && !json_is_boolean (stream) && !json_is_null (stream))
     {
-      return reject (failure, "stream: true or false is required");
+      return reject (failure, "stream: true or false is needed");
     }
   draft->stream = json_is_true (stream);
   draft->chat = chat;
@@ -127,7 +127,7 @@
   const char *prompt = json_string_value (json_object_get (body, "prompt"));
   if (prompt == NULL)
     {
-      return reject (failure, "prompt: a string is required");
+      return reject (failure, "prompt: a string is needed");
     }
   draft->prompt = g_strdup (prompt);
   return true;
--- a/src/caller/server.c
+++ b/src/caller/server.c
@@ -54,7 +54,7 @@
                                        NULL))
         {
           err_fail (failure, ERR_BAD_REQUEST,
-                    "X-Deadline-Ms: 1 to 86400000 is required");
+                    "X-Deadline-Ms: 1 to 86400000 is needed");
           return false;
         }
       terms->deadline_us
@@ -64,7 +64,7 @@
       && !g_ascii_string_to_unsigned (priority, 10, 0, PRIORITY_LOWEST, &value,
                                       NULL))
     {
-      err_fail (failure, ERR_BAD_REQUEST, "X-Priority: 0 to 3 is required");
+      err_fail (failure, ERR_BAD_REQUEST, "X-Priority: 0 to 3 is needed");
       return false;
     }
   terms->priority = (uint32_t)value;
