--- a/standin/checker.c
+++ b/standin/checker.c
@@ -8,6 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Violations of one rule that are printed in full. */
 #define DETAILS_PER_RULE 5
 
 struct rule
@@ -31,7 +32,7 @@
   = { .name = "version_in_force", .check = ck_check_versions_in_force },
 };
 
-/* Creates a checker without events.  */
+/* Returns a new checker without events.  */
 struct ck_checker *
 ck_create (void)
 {
@@ -40,7 +41,7 @@
   return checker;
 }
 
-/* Frees CHECKER.  */
+/* Frees CHECKER and its events.  */
 void
 ck_destroy (struct ck_checker *checker)
 {
@@ -52,14 +53,14 @@
   g_free (checker);
 }
 
-/* Adds one line of a journal.  Returns false when it is no event, like the
-   last line of a process that was killed.  */
+/* Adds the event in LINE, one line of a journal.  Returns false when LINE is
+   not an event, as the truncated last line of a killed process.  */
 bool
 ck_add_line (struct ck_checker *checker, const char *line)
 {
   json_t *json = json_loads (line, 0, NULL);
   struct ck_event event = {
-    .t = json_integer_value (json_object_get (json, "t")),
+    .time_us = json_integer_value (json_object_get (json, "t")),
     .json = json,
     .name = json_string_value (json_object_get (json, "event")),
   };
@@ -72,8 +73,10 @@
   return true;
 }
 
-/* Adds the journal PATH.  Fails with ERR_SETTINGS when it can't be read or has
-   a line but the last that is no event.  */
+/* Adds the events of the journal PATH.  Returns false and sets ERROR to
+   ERR_SETTINGS when the file can't be read or when a line that ends in a
+   newline is not an event.  An unterminated last line that is not an event is
+   ignored.  */
 bool
 ck_add_file (struct ck_checker *checker, const char *path, GError **error)
 {
@@ -86,39 +89,41 @@
     }
   char *line = NULL;
   size_t size = 0;
-  uint32_t number = 0;
-  uint32_t bad = 0; /* the number of a line that is no event */
-  while (bad == 0 && getline (&line, &size, file) > 0)
+  uint32_t line_number = 0;
+  uint32_t bad_number = 0; /* first line that is not an event; 0: none */
+  while (bad_number == 0 && getline (&line, &size, file) > 0)
     {
-      number++;
-      bool whole = strchr (line, '\n') != NULL;
-      bad = !ck_add_line (checker, line) && whole ? number : 0;
+      line_number++;
+      bool terminated = strchr (line, '\n') != NULL;
+      bad_number
+          = !ck_add_line (checker, line) && terminated ? line_number : 0;
     }
   free (line);
   fclose (file);
-  if (bad != 0)
+  if (bad_number != 0)
     {
       g_set_error (error, ERR_DOMAIN, ERR_SETTINGS, "%s:%u: not an event",
-                   path, bad);
+                   path, bad_number);
     }
-  return bad == 0;
+  return bad_number == 0;
 }
 
 static gint
-compare_events (gconstpointer a, gconstpointer b)
+compare_event_times (gconstpointer a, gconstpointer b)
 {
   const struct ck_event *left = a;
   const struct ck_event *right = b;
-  return left->t < right->t ? -1 : left->t > right->t;
+  return left->time_us < right->time_us ? -1 : left->time_us > right->time_us;
 }
 
-/* Checks every rule: sets VIOLATIONS and appends the first few of each to
-   DETAILS.  */
+/* Checks every rule.  Sets VIOLATIONS to the count for each rule and appends
+   the first DETAILS_PER_RULE events that violate a rule to DETAILS, one line
+   each.  */
 void
 ck_check (struct ck_checker *checker, uint32_t violations[CK_RULES],
           GString *details)
 {
-  g_array_sort (checker->events, compare_events);
+  g_array_sort (checker->events, compare_event_times);
   checker->violations = violations;
   checker->details = details;
   for (int rule = 0; rule < CK_RULES; rule++)
@@ -128,17 +133,17 @@
     }
 }
 
-/* Returns the name of RULE.  */
+/* Returns the name of RULE in the output.  */
 const char *
 ck_rule_name (enum ck_rule rule)
 {
   return rules[rule].name;
 }
 
-/* Counts a violation of RULE, shown by EVENT.  */
+/* Counts EVENT as a violation of RULE and adds it to the details.  */
 void
-ck_violation (struct ck_checker *checker, enum ck_rule rule,
-              const struct ck_event *event)
+ck_add_violation (struct ck_checker *checker, enum ck_rule rule,
+                  const struct ck_event *event)
 {
   if (checker->violations[rule]++ < DETAILS_PER_RULE)
     {
@@ -149,31 +154,31 @@
     }
 }
 
-/* Returns event INDEX of those sorted by time.  */
+/* Returns the event at INDEX; in the checks events are sorted by time.  */
 const struct ck_event *
 ck_event_at (const struct ck_checker *checker, guint index)
 {
   return &g_array_index (checker->events, struct ck_event, index);
 }
 
-/* Returns true when EVENT is called NAME.  */
+/* Returns whether EVENT has the name NAME.  */
 bool
-ck_is (const struct ck_event *event, const char *name)
+ck_has_name (const struct ck_event *event, const char *name)
 {
   return strcmp (event->name, name) == 0;
 }
 
-/* Returns MEMBER of EVENT, or "".  */
+/* Returns the string MEMBER of EVENT, or "" when there is none.  */
 const char *
-ck_text (const struct ck_event *event, const char *member)
+ck_text_member (const struct ck_event *event, const char *member)
 {
   const char *text = json_string_value (json_object_get (event->json, member));
   return text == NULL ? "" : text;
 }
 
-/* Returns MEMBER of EVENT, or 0.  */
+/* Returns the integer MEMBER of EVENT, or 0 when there is none.  */
 int64_t
-ck_number (const struct ck_event *event, const char *member)
+ck_number_member (const struct ck_event *event, const char *member)
 {
   return json_integer_value (json_object_get (event->json, member));
 }
--- a/standin/checker_fleet.c
+++ b/standin/checker_fleet.c
@@ -1,63 +1,71 @@
-/* Rules about layers, hosts and configuration. */
+/* The rules about layers, leaving hosts and configuration versions. */
 #include "standin/checker_private.h"
 
 #include <inttypes.h>
 #include <string.h>
 
+/* Time from the first notice that a host leaves to the end of new work. */
 #define LEAVING_LIMIT_US INT64_C (3000000)
+
+/* Time from the acceptance of a version to its being in force everywhere. */
 #define IN_FORCE_LIMIT_US INT64_C (12000000)
 
-/* Returns true and remembers KEY, owned from now on, when SET lacks it.  */
+/* Adds KEY to SET, which takes ownership.  Returns false when SET already has
+   KEY.  */
 static bool
 add_new (GHashTable *set, char *key)
 {
   return g_hash_table_add (set, key);
 }
 
-/* Returns true when SET has KEY, which is freed.  */
+/* Returns whether SET has KEY, and frees KEY.  */
 static bool
-has (GHashTable *set, char *key)
+contains_key (GHashTable *set, char *key)
 {
   bool found = g_hash_table_contains (set, key);
   g_free (key);
   return found;
 }
 
-/* Checks one step against those that ran before.  RAN has a key for each
-   layer of each step of each attempt, SEEN one for each layer of each step of
-   each request.  */
+/* Checks one step against the earlier ones and records it.  RAN has a key for
+   each layer of each step of each attempt, SEEN one for each layer of each
+   step of each request.  Returns false when a layer runs again, before the
+   layer below it or before its own previous step.  */
 static bool
-step_fits (const struct ck_event *event, GHashTable *ran, GHashTable *seen)
+record_step (const struct ck_event *event, GHashTable *ran, GHashTable *seen)
 {
-  const char *request = ck_text (event, "request");
-  int64_t attempt = ck_number (event, "attempt");
-  int64_t step = ck_number (event, "step");
-  int64_t first = ck_number (event, "first");
-  bool fits = true;
+  const char *request = ck_text_member (event, "request");
+  int64_t attempt = ck_number_member (event, "attempt");
+  int64_t step = ck_number_member (event, "step");
+  int64_t first = ck_number_member (event, "first");
+  bool in_order = true;
   if (first > 0)
     {
-      fits = has (ran, g_strdup_printf ("%s/%" PRId64 "/%" PRId64 "/%" PRId64,
-                                        request, attempt, step, first - 1));
+      in_order = contains_key (
+          ran, g_strdup_printf ("%s/%" PRId64 "/%" PRId64 "/%" PRId64, request,
+                                attempt, step, first - 1));
     }
-  for (int64_t layer = first; layer < ck_number (event, "end"); layer++)
+  for (int64_t layer = first; layer < ck_number_member (event, "end"); layer++)
     {
       char *key = g_strdup_printf ("%s/%" PRId64 "/%" PRId64 "/%" PRId64,
                                    request, attempt, step, layer);
-      fits = add_new (ran, key) && fits;
+      in_order = add_new (ran, key) && in_order;
       if (step > 0)
         {
-          fits = has (seen, g_strdup_printf ("%s/%" PRId64 "/%" PRId64,
-                                             request, step - 1, layer))
-                 && fits;
+          in_order
+              = contains_key (seen, g_strdup_printf ("%s/%" PRId64 "/%" PRId64,
+                                                     request, step - 1, layer))
+                && in_order;
         }
       add_new (seen, g_strdup_printf ("%s/%" PRId64 "/%" PRId64, request, step,
                                       layer));
     }
-  return fits;
+  return in_order;
 }
 
-/* Rule: within an attempt a layer runs once for each step, after the layer
-   below it in the same step and after itself in the step before.  */
+/* Checks CK_LAYERS.  Within an attempt a layer runs once for each step, after
+   the layer below it in the same step.  It runs after the same layer in the
+   previous step, in any attempt of the request.  */
 void
 ck_check_layers (struct ck_checker *checker)
 {
@@ -68,27 +76,28 @@
   for (guint i = 0; i < checker->events->len; i++)
     {
       const struct ck_event *event = ck_event_at (checker, i);
-      if (ck_is (event, "step") && !step_fits (event, ran, seen))
+      if (ck_has_name (event, "step") && !record_step (event, ran, seen))
         {
-          ck_violation (checker, CK_LAYERS, event);
+          ck_add_violation (checker, CK_LAYERS, event);
         }
     }
   g_hash_table_destroy (seen);
   g_hash_table_destroy (ran);
 }
 
-/* When hosts were first seen to leave: by name, in microseconds. */
-struct signs
+/* When each host was first known to leave.  The tables map the name of a host
+   to a monotonic time in microseconds, UNSERVED to a version. */
+struct leaving_times
 {
-  GHashTable *listed; /* in the host list, as anybody first got it */
-  GHashTable *unseen; /* host to the version of the list that will tell */
-  GHashTable *own;    /* by the host itself */
+  GHashTable *listed;   /* when a host list that says so was first served */
+  GHashTable *unserved; /* version of the list that says so, not yet served */
+  GHashTable *self_reported; /* when the host itself began to report it */
 };
 
-/* Sets the sign of HOST in TABLE to AT_US, or takes it away.  The first one
-   stays.  */
+/* With LEAVING, sets the time of HOST in TABLE to AT_US unless it has one;
+   else removes it.  */
 static void
-set_sign (GHashTable *table, const char *host, bool leaving, int64_t at_us)
+set_leaving (GHashTable *table, const char *host, bool leaving, int64_t at_us)
 {
   if (!leaving)
     {
@@ -96,163 +105,178 @@
     }
   else if (!g_hash_table_contains (table, host))
     {
-      int64_t *sign = g_new (int64_t, 1);
-      *sign = at_us;
-      g_hash_table_insert (table, (gpointer)host, sign);
+      int64_t *leaving_us = g_new (int64_t, 1);
+      *leaving_us = at_us;
+      g_hash_table_insert (table, (gpointer)host, leaving_us);
     }
 }
 
-/* Keeps the change of HOST in the list that EVENT tells, until it is seen.  */
+/* Records the state of HOST from EVENT, a change of the host list.  A leaving
+   host counts as such once that version of the list is served; a host that no
+   longer leaves is cleared at once.  */
 static void
-note_listed (const struct signs *signs, const struct ck_event *event,
-             const char *host)
+record_listed (const struct leaving_times *leaving_times,
+               const struct ck_event *event, const char *host)
 {
-  if (strcmp (ck_text (event, "state"), "leaving") == 0)
+  if (strcmp (ck_text_member (event, "state"), "leaving") == 0)
     {
-      gsize version = (gsize)ck_number (event, "version");
-      g_hash_table_insert (signs->unseen, (gpointer)host,
+      gsize version = (gsize)ck_number_member (event, "version");
+      g_hash_table_insert (leaving_times->unserved, (gpointer)host,
                            GSIZE_TO_POINTER (version));
       return;
     }
-  g_hash_table_remove (signs->unseen, host);
-  set_sign (signs->listed, host, false, event->t);
+  g_hash_table_remove (leaving_times->unserved, host);
+  set_leaving (leaving_times->listed, host, false, event->time_us);
 }
 
-/* Turns the changes of the list that EVENT gave out into signs.  */
+/* Records the hosts that leave in the version of the host list that EVENT
+   served.  */
 static void
-note_served (const struct signs *signs, const struct ck_event *event)
+record_served (const struct leaving_times *leaving_times,
+               const struct ck_event *event)
 {
   GHashTableIter iterator;
   gpointer host;
   gpointer version;
-  g_hash_table_iter_init (&iterator, signs->unseen);
+  g_hash_table_iter_init (&iterator, leaving_times->unserved);
   while (g_hash_table_iter_next (&iterator, &host, &version))
     {
-      if (GPOINTER_TO_SIZE (version) <= (gsize)ck_number (event, "version"))
+      if (GPOINTER_TO_SIZE (version)
+          <= (gsize)ck_number_member (event, "version"))
         {
-          set_sign (signs->listed, host, true, event->t);
+          set_leaving (leaving_times->listed, host, true, event->time_us);
           g_hash_table_iter_remove (&iterator);
         }
     }
 }
 
-/* Takes a sign of leaving, or its end, from EVENT.  A host that starts anew no
-   longer leaves by its own word.  */
+/* Updates LEAVING_TIMES from EVENT.  A host that restarts no longer reports by
+   itself that it leaves; an entry in the host list stays.  */
 static void
-note_sign (const struct signs *signs, const struct ck_event *event)
+record_leaving (const struct leaving_times *leaving_times,
+                const struct ck_event *event)
 {
-  const char *host = ck_text (event, "host");
-  if (ck_is (event, "host"))
+  const char *host = ck_text_member (event, "host");
+  if (ck_has_name (event, "host"))
     {
-      note_listed (signs, event, host);
+      record_listed (leaving_times, event, host);
     }
-  else if (ck_is (event, "list_served"))
+  else if (ck_has_name (event, "list_served"))
     {
-      note_served (signs, event);
+      record_served (leaving_times, event);
     }
-  else if (ck_is (event, "started"))
+  else if (ck_has_name (event, "started"))
     {
-      set_sign (signs->own, host, false, event->t);
+      set_leaving (leaving_times->self_reported, host, false, event->time_us);
     }
-  else if (ck_is (event, "fault"))
+  else if (ck_has_name (event, "fault"))
     {
       const json_t *fault = json_object_get (event->json, "fault");
       const json_t *value = json_object_get (fault, "leaving");
       if (json_is_boolean (value))
         {
-          set_sign (signs->own, host, json_is_true (value), event->t);
+          set_leaving (leaving_times->self_reported, host,
+                       json_is_true (value), event->time_us);
         }
     }
 }
 
-/* Returns true when the sign of HOST in TABLE is older than the limit.  */
+/* Returns whether HOST has a time in TABLE that is more than LEAVING_LIMIT_US
+   before NOW_US.  */
 static bool
-is_over_limit (GHashTable *table, const char *host, int64_t now_us)
+is_past_limit (GHashTable *table, const char *host, int64_t now_us)
 {
-  const int64_t *sign = g_hash_table_lookup (table, host);
-  return sign != NULL && now_us > *sign + LEAVING_LIMIT_US;
+  const int64_t *leaving_us = g_hash_table_lookup (table, host);
+  return leaving_us != NULL && now_us > *leaving_us + LEAVING_LIMIT_US;
 }
 
+/* Returns whether EVENT is work that was newly sent to a host, also when the
+   host refused it.  */
 static bool
 is_new_work (const struct ck_event *event)
 {
-  return ck_is (event, "open") || ck_is (event, "open_refused")
-         || ck_is (event, "effect") || ck_is (event, "not_run");
+  return ck_has_name (event, "open") || ck_has_name (event, "open_refused")
+         || ck_has_name (event, "effect") || ck_has_name (event, "not_run");
 }
 
-/* Rule: no work is opened at a host 3 s after the first sign that it
-   leaves.  */
+/* Checks CK_LEAVING.  No new work is sent to a host later than
+   LEAVING_LIMIT_US after it was first known to leave.  */
 void
 ck_check_leaving (struct ck_checker *checker)
 {
-  const struct signs signs = {
+  const struct leaving_times leaving_times = {
     .listed = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free),
-    .unseen = g_hash_table_new (g_str_hash, g_str_equal),
-    .own = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free),
+    .unserved = g_hash_table_new (g_str_hash, g_str_equal),
+    .self_reported
+    = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, g_free),
   };
   for (guint i = 0; i < checker->events->len; i++)
     {
       const struct ck_event *event = ck_event_at (checker, i);
-      const char *host = ck_text (event, "host");
-      note_sign (&signs, event);
+      const char *host = ck_text_member (event, "host");
+      record_leaving (&leaving_times, event);
       if (is_new_work (event)
-          && (is_over_limit (signs.listed, host, event->t)
-              || is_over_limit (signs.own, host, event->t)))
+          && (is_past_limit (leaving_times.listed, host, event->time_us)
+              || is_past_limit (leaving_times.self_reported, host,
+                                event->time_us)))
         {
-          ck_violation (checker, CK_LEAVING, event);
+          ck_add_violation (checker, CK_LEAVING, event);
         }
     }
-  g_hash_table_destroy (signs.own);
-  g_hash_table_destroy (signs.unseen);
-  g_hash_table_destroy (signs.listed);
+  g_hash_table_destroy (leaving_times.self_reported);
+  g_hash_table_destroy (leaving_times.unserved);
+  g_hash_table_destroy (leaving_times.listed);
 }
 
-/* Counts a version that EVENT says was accepted a second time.  */
+/* Adds the version of EVENT to ACCEPTED; one that was accepted before is a
+   violation.  */
 static void
-check_published (struct ck_checker *checker, GHashTable *accepted,
-                 const struct ck_event *event)
+check_accepted_once (struct ck_checker *checker, GHashTable *accepted,
+                     const struct ck_event *event)
 {
-  gsize version = (gsize)ck_number (event, "version");
+  gsize version = (gsize)ck_number_member (event, "version");
   if (!g_hash_table_add (accepted, GSIZE_TO_POINTER (version)))
     {
-      ck_violation (checker, CK_VERSIONS_RISE, event);
+      ck_add_violation (checker, CK_VERSIONS_RISE, event);
     }
 }
 
-/* Rule: what a daemon, also a replaced one, says to be in force never falls,
-   and of rivals on the same base one is accepted.  */
+/* Checks CK_VERSIONS_RISE.  The version that a daemon reports as in force
+   never falls, also when the daemon is replaced, and of concurrent changes on
+   the same base version only one is accepted.  */
 void
 ck_check_versions_rise (struct ck_checker *checker)
 {
-  GHashTable *newest = g_hash_table_new (g_str_hash, g_str_equal);
+  GHashTable *newest_by_daemon = g_hash_table_new (g_str_hash, g_str_equal);
   GHashTable *accepted = g_hash_table_new (NULL, NULL);
   for (guint i = 0; i < checker->events->len; i++)
     {
       const struct ck_event *event = ck_event_at (checker, i);
-      if (ck_is (event, "published"))
+      if (ck_has_name (event, "published"))
         {
-          check_published (checker, accepted, event);
+          check_accepted_once (checker, accepted, event);
         }
-      if (!ck_is (event, "version"))
+      if (!ck_has_name (event, "version"))
         {
           continue;
         }
-      const char *daemon = ck_text (event, "daemon");
-      gsize version = (gsize)ck_number (event, "version");
-      gsize known = GPOINTER_TO_SIZE (g_hash_table_lookup (newest, daemon));
-      if (version < known)
+      const char *daemon = ck_text_member (event, "daemon");
+      gsize version = (gsize)ck_number_member (event, "version");
+      gsize newest_version
+          = GPOINTER_TO_SIZE (g_hash_table_lookup (newest_by_daemon, daemon));
+      if (version < newest_version)
         {
-          ck_violation (checker, CK_VERSIONS_RISE, event);
+          ck_add_violation (checker, CK_VERSIONS_RISE, event);
         }
-      g_hash_table_replace (newest, (gpointer)daemon,
-                            GSIZE_TO_POINTER (MAX (version, known)));
+      g_hash_table_replace (newest_by_daemon, (gpointer)daemon,
+                            GSIZE_TO_POINTER (MAX (version, newest_version)));
     }
   g_hash_table_destroy (accepted);
-  g_hash_table_destroy (newest);
+  g_hash_table_destroy (newest_by_daemon);
 }
 
-/* Rule: 12 s after a version was accepted no daemon says that an older one is
-   in force.  */
+/* Checks CK_VERSION_IN_FORCE.  Later than IN_FORCE_LIMIT_US after a version
+   was accepted, no daemon reports an older one as in force.  */
 void
 ck_check_versions_in_force (struct ck_checker *checker)
 {
@@ -260,23 +284,24 @@
   for (guint i = 0; i < checker->events->len; i++)
     {
       const struct ck_event *event = ck_event_at (checker, i);
-      if (ck_is (event, "published"))
+      if (ck_has_name (event, "published"))
         {
           g_array_append_val (published, *event);
         }
       bool late = false;
-      for (guint j = 0; ck_is (event, "version") && j < published->len; j++)
+      for (guint j = 0; ck_has_name (event, "version") && j < published->len;
+           j++)
         {
           const struct ck_event *earlier
               = &g_array_index (published, struct ck_event, j);
           late = late
-                 || (event->t > earlier->t + IN_FORCE_LIMIT_US
-                     && ck_number (event, "version")
-                            < ck_number (earlier, "version"));
+                 || (event->time_us > earlier->time_us + IN_FORCE_LIMIT_US
+                     && ck_number_member (event, "version")
+                            < ck_number_member (earlier, "version"));
         }
       if (late)
         {
-          ck_violation (checker, CK_VERSION_IN_FORCE, event);
+          ck_add_violation (checker, CK_VERSION_IN_FORCE, event);
         }
     }
   g_array_free (published, TRUE);
--- a/standin/checker_main.c
+++ b/standin/checker_main.c
@@ -2,8 +2,9 @@
 
 #include <stdio.h>
 
-/* Checks the journals named on the command line and prints one line for each
-   rule.  */
+/* Checks the journals named on the command line.  Prints the count for each
+   rule to standard output and the details to standard error.  Returns 0, also
+   with violations, or 2 when a journal can't be read.  */
 int
 main (int argc, char **argv)
 {
--- a/standin/checker_private.h
+++ b/standin/checker_private.h
@@ -1,4 +1,4 @@
-/* What the files of the checker share. */
+/* Internals of the checker: the events, and the check of each rule. */
 #ifndef STANDIN_CHECKER_PRIVATE_H
 #define STANDIN_CHECKER_PRIVATE_H
 
@@ -6,27 +6,28 @@
 
 #include <jansson.h>
 
+/* One line of a journal. */
 struct ck_event
 {
-  int64_t t; /* monotonic, in microseconds */
+  int64_t time_us; /* monotonic time */
   json_t *json;
-  const char *name; /* member `event' */
+  const char *name; /* member `event', owned by JSON */
 };
 
 struct ck_checker
 {
-  GArray *events;       /* struct ck_event, by time once checked */
-  uint32_t *violations; /* of the check under way */
-  GString *details;
+  GArray *events;       /* struct ck_event, sorted by time in ck_check */
+  uint32_t *violations; /* set by ck_check: the count for each rule */
+  GString *details;     /* set by ck_check */
 };
 
-void ck_violation (struct ck_checker *checker, enum ck_rule rule,
-                   const struct ck_event *event);
+void ck_add_violation (struct ck_checker *checker, enum ck_rule rule,
+                       const struct ck_event *event);
 const struct ck_event *ck_event_at (const struct ck_checker *checker,
                                     guint index);
-bool ck_is (const struct ck_event *event, const char *name);
-const char *ck_text (const struct ck_event *event, const char *member);
-int64_t ck_number (const struct ck_event *event, const char *member);
+bool ck_has_name (const struct ck_event *event, const char *name);
+const char *ck_text_member (const struct ck_event *event, const char *member);
+int64_t ck_number_member (const struct ck_event *event, const char *member);
 
 void ck_check_effects (struct ck_checker *checker);
 void ck_check_not_run (struct ck_checker *checker);
