--- a/standin/journal.c
+++ b/standin/journal.c
@@ -16,8 +16,9 @@
   FILE *file;
 };
 
-/* Creates a journal that appends to the file PATH, or one that drops every
-   event when PATH is NULL.  Fails with ERR_SETTINGS.  */
+/* Creates a journal that appends to the file PATH, or one that discards every
+   event when PATH is NULL.  Returns NULL and sets ERROR to ERR_SETTINGS when
+   the file can't be opened.  */
 struct jn_journal *
 jn_create (const char *path, GError **error)
 {
@@ -38,7 +39,7 @@
   return journal;
 }
 
-/* Closes JOURNAL; NULL is allowed.  */
+/* Closes and frees JOURNAL; NULL is allowed.  */
 void
 jn_destroy (struct jn_journal *journal)
 {
@@ -54,9 +55,10 @@
   g_free (journal);
 }
 
-/* Writes `{"t": T, "event": EVENT, ...}' and flushes it.  T is the monotonic
-   time in microseconds; times rise from line to line.  FORMAT gives further
-   members and starts with a comma, or is empty.  Thread-safe.  */
+/* Appends the line `{"t": T, "event": EVENT, ...}' and flushes the file.  T is
+   the monotonic time in microseconds and never falls from one line to the
+   next.  FORMAT formats further members and starts with a comma, or is empty.
+   Does nothing when JOURNAL is NULL.  Thread-safe.  */
 void
 jn_write (struct jn_journal *journal, const char *event, const char *format,
           ...)
@@ -77,7 +79,7 @@
   pthread_mutex_unlock (&journal->lock);
 }
 
-/* Appends TEXT to OUT as a JSON string with its quotes.  TEXT is UTF-8.  */
+/* Appends TEXT, which is UTF-8, to OUT as a quoted JSON string.  */
 void
 jn_append_json (GString *out, const char *text)
 {
--- a/standin/journal.h
+++ b/standin/journal.h
@@ -1,4 +1,5 @@
-/* The journal of a stand-in: one line of JSON for each event. */
+/* The journal of a stand-in: a file with one line of JSON for each event,
+   which the checker reads. */
 #ifndef STANDIN_JOURNAL_H
 #define STANDIN_JOURNAL_H
 
--- a/standin/journal_main.c
+++ b/standin/journal_main.c
@@ -2,7 +2,9 @@
 
 #include <stdio.h>
 
-/* Appends one event to a journal, for scripts.  */
+/* Appends one event to a journal, for use in scripts.  MEMBERS is JSON without
+   the enclosing braces.  Returns 0, 1 when the journal can't be opened or 2
+   for wrong arguments.  */
 int
 main (int argc, char **argv)
 {
