--- a/standin/load.c
+++ b/standin/load.c
@@ -6,9 +6,10 @@
 #include <math.h>
 #include <pthread.h>
 
+/* Longest wait for transfers while no event is due. */
 #define POLL_MAX_MS 20
 
-struct event
+struct scheduled_event
 {
   enum lt_event_type type;
   int64_t due_us;
@@ -17,31 +18,32 @@
 };
 
 static gint
-compare_events (gconstpointer a, gconstpointer b, gpointer user)
+compare_due_times (gconstpointer a, gconstpointer b, gpointer user)
 {
   (void)user;
-  const struct event *left = a;
-  const struct event *right = b;
+  const struct scheduled_event *left = a;
+  const struct scheduled_event *right = b;
   return left->due_us < right->due_us ? -1 : left->due_us > right->due_us;
 }
 
-/* Lets WORKER act at DUE_US.  */
+/* Schedules an event of TYPE for WORKER at the monotonic time DUE_US.  ACCOUNT
+   is for drafts, BOOKING for retries.  */
 void
 lt_schedule (struct lt_worker *worker, enum lt_event_type type, int64_t due_us,
              uint32_t account, struct lt_booking *booking)
 {
-  struct event *event = g_new (struct event, 1);
-  *event = (struct event){
+  struct scheduled_event *event = g_new (struct scheduled_event, 1);
+  *event = (struct scheduled_event){
     .type = type,
     .due_us = due_us,
     .account = account,
     .booking = booking,
   };
-  g_sequence_insert_sorted (worker->events, event, compare_events, NULL);
+  g_sequence_insert_sorted (worker->events, event, compare_due_times, NULL);
 }
 
-/* Schedules the next arrival of a Poisson process whose PER_S is shared by all
-   workers, after FROM_US.  */
+/* Schedules the next arrival after FROM_US in this worker's equal share of a
+   Poisson process with PER_S arrivals a second over all workers.  */
 static void
 schedule_arrival (struct lt_worker *worker, enum lt_event_type type,
                   uint32_t account, double per_s, int64_t from_us)
@@ -56,9 +58,10 @@
                NULL);
 }
 
-/* Does what EVENT asks for.  */
+/* Starts the call of EVENT and, in an open loop, schedules the next
+   arrival.  */
 static void
-act (struct lt_worker *worker, const struct event *event)
+run_event (struct lt_worker *worker, const struct scheduled_event *event)
 {
   const struct lt_options *options = worker->options;
   switch (event->type)
@@ -88,10 +91,10 @@
     }
 }
 
-/* Acts on every event that is due; after the end only retries go on.  Returns
-   the time until the next one in milliseconds.  */
+/* Runs every event that is due; after the measured time only retries.  Returns
+   the time until the next event in milliseconds, at most POLL_MAX_MS.  */
 static int
-run_events (struct lt_worker *worker)
+run_due_events (struct lt_worker *worker)
 {
   for (;;)
     {
@@ -101,7 +104,8 @@
           return POLL_MAX_MS;
         }
       int64_t now_us = clk_monotonic_us ();
-      struct event event = *(struct event *)g_sequence_get (first);
+      struct scheduled_event event
+          = *(struct scheduled_event *)g_sequence_get (first);
       if (event.due_us > now_us)
         {
           int64_t wait_ms = (event.due_us - now_us) / CLK_MS_US;
@@ -110,35 +114,35 @@
       g_sequence_remove (first);
       if (now_us < worker->end_us || event.type == LT_EVENT_RETRY)
         {
-          act (worker, &event);
+          run_event (worker, &event);
         }
     }
 }
 
-/* Ends CALL with RESULT.  */
+/* Records the end of CALL with RESULT and frees CALL.  */
 static void
-end_call (struct lt_worker *worker, struct lt_call *call, CURLcode result)
+finish_call (struct lt_worker *worker, struct lt_call *call, CURLcode result)
 {
   curl_multi_remove_handle (worker->multi, call->curl);
   g_hash_table_remove (worker->calls, call);
   switch (call->type)
     {
     case LT_DRAFT:
-      lt_end_draft (call, result);
+      lt_finish_draft (call, result);
       break;
     case LT_BOOKING:
-      lt_end_booking (call, result);
+      lt_finish_booking (call, result);
       break;
     case LT_LOOKUP:
-      lt_end_lookup (call, result);
+      lt_finish_lookup (call, result);
       break;
     }
   lt_call_destroy (call);
 }
 
-/* Ends every call that has its answer.  */
+/* Finishes every call whose transfer has ended.  */
 static void
-end_calls (struct lt_worker *worker)
+finish_calls (struct lt_worker *worker)
 {
   int left;
   CURLMsg *message;
@@ -147,13 +151,14 @@
       CURLcode result = message->data.result;
       struct lt_call *call = NULL;
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, &call);
-      end_call (worker, call, result);
+      finish_call (worker, call, result);
     }
 }
 
-/* Schedules the first events of WORKER.  */
+/* Schedules the first arrivals and this worker's share of the closed-loop
+   drafts.  */
 static void
-schedule_first (struct lt_worker *worker)
+schedule_initial_events (struct lt_worker *worker)
 {
   const struct lt_options *options = worker->options;
   for (uint32_t i = 0; i < options->account_count; i++)
@@ -161,8 +166,8 @@
       const struct lt_account *account = &options->accounts[i];
       schedule_arrival (worker, LT_EVENT_DRAFT, i, account->drafts_per_s,
                         worker->start_us);
-      for (uint32_t slot = worker->index; slot < account->streams;
-           slot += options->threads)
+      for (uint32_t stream = worker->index; stream < account->streams;
+           stream += options->threads)
         {
           lt_schedule (worker, LT_EVENT_NEXT_DRAFT, worker->start_us, i, NULL);
         }
@@ -176,9 +181,9 @@
     }
 }
 
-/* Counts and frees the calls that are still under way.  */
+/* Counts, journals and frees the calls that are still open.  */
 static void
-drop_calls (struct lt_worker *worker)
+abandon_calls (struct lt_worker *worker)
 {
   GHashTableIter iterator;
   gpointer key;
@@ -191,7 +196,7 @@
                 ",\"type\":%d,\"request\":\"%s\",\"caller\":\"%s\","
                 "\"tokens\":%u,\"sent\":%" PRId64,
                 (int)call->type, call->request_id,
-                worker->options->callers[call->caller], call->tokens,
+                worker->options->daemon_urls[call->daemon], call->tokens,
                 call->sent_us);
       curl_multi_remove_handle (worker->multi, call->curl);
       if (call->booking != NULL && --call->booking->open_calls == 0)
@@ -202,57 +207,58 @@
     }
 }
 
-/* The thread of one worker.  */
+/* The thread of one worker: runs until the measured time is over and every
+   call has ended, or until the drain time is over too.  */
 static void *
-work (void *data)
+run_worker (void *data)
 {
   struct lt_worker *worker = data;
-  int64_t drain_us
+  int64_t drain_end_us
       = worker->end_us + (int64_t)(worker->options->drain_s * CLK_S_US);
-  schedule_first (worker);
+  schedule_initial_events (worker);
   for (;;)
     {
       int64_t now_us = clk_monotonic_us ();
       bool idle = g_hash_table_size (worker->calls) == 0
                   && g_sequence_is_empty (worker->events);
-      if (now_us >= drain_us || (now_us >= worker->end_us && idle))
+      if (now_us >= drain_end_us || (now_us >= worker->end_us && idle))
         {
           break;
         }
-      int wait_ms = run_events (worker);
+      int wait_ms = run_due_events (worker);
       int running;
       curl_multi_perform (worker->multi, &running);
-      end_calls (worker);
+      finish_calls (worker);
       curl_multi_poll (worker->multi, NULL, 0, wait_ms, NULL);
     }
-  drop_calls (worker);
+  abandon_calls (worker);
   return NULL;
 }
 
-/* Sets up worker INDEX.  */
+/* Initialises WORKER as worker INDEX.  */
 static void
 init_worker (struct lt_worker *worker, const struct lt_options *options,
              struct lt_balancer *balancer, uint32_t index, int64_t start_us)
 {
-  double total_s = options->warmup_s + options->seconds;
+  double total_s = options->warmup_s + options->measure_s;
   *worker = (struct lt_worker){
     .options = options,
     .balancer = balancer,
     .index = index,
-    .random = g_rand_new_with_seed (options->seed * LT_CALLERS_MAX + index),
+    .random = g_rand_new_with_seed (options->seed * LT_DAEMONS_MAX + index),
     .multi = curl_multi_init (),
     .events = g_sequence_new (g_free),
     .calls = g_hash_table_new (NULL, NULL),
     .start_us = start_us,
-    .measure_us = start_us + (int64_t)(options->warmup_s * CLK_S_US),
+    .measure_start_us = start_us + (int64_t)(options->warmup_s * CLK_S_US),
     .end_us = start_us + (int64_t)(total_s * CLK_S_US),
   };
-  double windows = total_s * CLK_S_US / LT_WINDOW_US;
-  worker->stats = lt_stats_create ((uint32_t)windows + 1);
+  double window_count = total_s * CLK_S_US / LT_WINDOW_US;
+  worker->stats = lt_stats_create ((uint32_t)window_count + 1);
 }
 
 static void
-clear_worker (struct lt_worker *worker)
+free_worker (struct lt_worker *worker)
 {
   lt_stats_destroy (worker->stats);
   g_hash_table_destroy (worker->calls);
@@ -261,8 +267,8 @@
   g_rand_free (worker->random);
 }
 
-/* Runs the load that OPTIONS describe and returns the summary as JSON, owned
-   by the caller.  */
+/* Runs the load that OPTIONS describe, which takes its warm-up, measured and
+   drain times.  Returns the summary as JSON, to be freed by the caller.  */
 char *
 lt_run (const struct lt_options *options)
 {
@@ -274,7 +280,7 @@
   for (uint32_t i = 0; i < options->threads; i++)
     {
       init_worker (&workers[i], options, balancer, i, start_us);
-      pthread_create (&threads[i], NULL, work, &workers[i]);
+      pthread_create (&threads[i], NULL, run_worker, &workers[i]);
     }
   for (uint32_t i = 0; i < options->threads; i++)
     {
@@ -287,7 +293,7 @@
   char *summary = lt_stats_summary (workers[0].stats, options, start_us);
   for (uint32_t i = 0; i < options->threads; i++)
     {
-      clear_worker (&workers[i]);
+      free_worker (&workers[i]);
     }
   lt_balancer_destroy (balancer);
   g_free (threads);
--- a/standin/load_balancer.c
+++ b/standin/load_balancer.c
@@ -5,37 +5,40 @@
 
 #define PROBE_INTERVAL_US 100000
 #define PROBE_TIMEOUT_MS 500L
+
+/* Failed probes in a row after which a daemon counts as not ready. */
 #define FAILURES_UNREADY 2
 
-/* Hands calls to the daemons in turn, like the platform's balancer: a daemon
-   that is not ready gets none. */
+/* A round-robin load balancer over the daemons that are ready, as the
+   platform's balancer is. */
 struct lt_balancer
 {
   const struct lt_options *options;
   pthread_t thread;
   _Atomic bool stopping;
-  _Atomic bool ready[LT_CALLERS_MAX];
+  _Atomic bool ready[LT_DAEMONS_MAX];
   _Atomic uint32_t next;
 };
 
 static size_t
-drop_body (char *data, size_t size, size_t count, void *user)
+discard_body (char *data, size_t size, size_t count, void *user)
 {
   (void)data;
   (void)user;
   return size * count;
 }
 
-/* Returns true when the daemon at URL says that it is ready.  */
+/* Returns whether the daemon at URL answers the readiness check with
+   success.  */
 static bool
-probe (const char *url)
+probe_ready (const char *url)
 {
   char *path = g_strconcat (url, "/readyz", NULL);
   CURL *curl = curl_easy_init ();
   curl_easy_setopt (curl, CURLOPT_URL, path);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, PROBE_TIMEOUT_MS);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, drop_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, discard_body);
   curl_easy_setopt (curl, CURLOPT_FAILONERROR, 1L);
   bool ready = curl_easy_perform (curl) == CURLE_OK;
   curl_easy_cleanup (curl);
@@ -43,18 +46,18 @@
   return ready;
 }
 
-/* Probes every daemon again and again.  One that fails FAILURES_UNREADY times
-   in a row is not ready.  */
+/* The thread that probes every daemon, with a pause of PROBE_INTERVAL_US after
+   each round.  */
 static void *
 probe_loop (void *data)
 {
   struct lt_balancer *balancer = data;
-  uint32_t failures[LT_CALLERS_MAX] = { 0 };
+  uint32_t failures[LT_DAEMONS_MAX] = { 0 };
   while (!atomic_load (&balancer->stopping))
     {
-      for (uint32_t i = 0; i < balancer->options->caller_count; i++)
+      for (uint32_t i = 0; i < balancer->options->daemon_count; i++)
         {
-          bool ready = probe (balancer->options->callers[i]);
+          bool ready = probe_ready (balancer->options->daemon_urls[i]);
           failures[i] = ready ? 0 : failures[i] + 1;
           atomic_store (&balancer->ready[i], failures[i] < FAILURES_UNREADY);
         }
@@ -63,13 +66,14 @@
   return NULL;
 }
 
-/* Creates a balancer over the callers of OPTIONS.  */
+/* Creates a balancer over the daemons of OPTIONS and starts its probes.  All
+   daemons count as ready at first.  */
 struct lt_balancer *
 lt_balancer_create (const struct lt_options *options)
 {
   struct lt_balancer *balancer = g_new0 (struct lt_balancer, 1);
   balancer->options = options;
-  for (uint32_t i = 0; i < options->caller_count; i++)
+  for (uint32_t i = 0; i < options->daemon_count; i++)
     {
       atomic_store (&balancer->ready[i], true);
     }
@@ -77,7 +81,7 @@
   return balancer;
 }
 
-/* Stops and frees BALANCER.  */
+/* Stops the probes and frees BALANCER.  */
 void
 lt_balancer_destroy (struct lt_balancer *balancer)
 {
@@ -86,12 +90,12 @@
   g_free (balancer);
 }
 
-/* Returns the index of the daemon that gets the next call.  When none is
-   ready, any is taken.  */
+/* Returns the index of the daemon for the next call: the next one that is
+   ready, or any one when none is.  */
 uint32_t
 lt_balancer_pick (struct lt_balancer *balancer)
 {
-  uint32_t count = balancer->options->caller_count;
+  uint32_t count = balancer->options->daemon_count;
   uint32_t picked = 0;
   for (uint32_t i = 0; i < count; i++)
     {
--- a/standin/load_book.c
+++ b/standin/load_book.c
@@ -6,8 +6,12 @@
 #include <jansson.h>
 #include <string.h>
 
-#define RETRY_DEFAULT_US (200 * CLK_MS_US)
+/* Shortest time from a failed attempt to the next one. */
+#define RETRY_MIN_US (200 * CLK_MS_US)
+
 #define PERCENT 100
+
+/* Range of the time from a successful booking to its repeat. */
 #define REPEAT_MIN_US (100 * CLK_MS_US)
 #define REPEAT_MAX_US (4 * CLK_S_US)
 
@@ -18,7 +22,7 @@
                                      (gint32)worker->options->account_count);
 }
 
-/* Sends one call of BOOKING.  */
+/* Sends one more call of BOOKING.  */
 static void
 send_booking (struct lt_worker *worker, struct lt_booking *booking)
 {
@@ -36,7 +40,8 @@
   lt_call_send (call, path);
 }
 
-/* Starts a booking with a new key, at times at two daemons at once.  */
+/* Starts a booking with a new key and a random account.  A share of
+   DUPLICATE_PERCENT is sent to two daemons at once.  */
 void
 lt_start_booking (struct lt_worker *worker)
 {
@@ -46,42 +51,45 @@
   g_snprintf (booking->key, sizeof booking->key, "k%u-%" PRId64 "-%u-%u",
               worker->options->seed, worker->start_us, worker->index,
               worker->next_number++);
-  bool twin = g_rand_int_range (worker->random, 0, PERCENT)
-              < (gint32)worker->options->twin_percent;
+  bool duplicate = g_rand_int_range (worker->random, 0, PERCENT)
+                   < (gint32)worker->options->duplicate_percent;
   send_booking (worker, booking);
-  if (twin)
+  if (duplicate)
     {
       send_booking (worker, booking);
     }
 }
 
-/* Sends BOOKING again with its key.  */
+/* Sends BOOKING again with the same key.  */
 void
 lt_retry_booking (struct lt_worker *worker, struct lt_booking *booking)
 {
   send_booking (worker, booking);
 }
 
-/* Returns true when the body is a booking of the call's own slot, the same as
-   in every earlier answer.  */
+/* Returns whether the body is a booking of the call's own slot, with the same
+   number as in every earlier answer.  */
 static bool
 is_own_booking (const struct lt_call *call)
 {
   struct lt_booking *booking = call->booking;
   json_t *body = json_loads (call->received->str, 0, NULL);
   const char *slot = json_string_value (json_object_get (body, "slot"));
-  int64_t number = json_integer_value (json_object_get (body, "booking"));
-  bool own = slot != NULL && strcmp (slot, booking->key) == 0 && number > 0
-             && (booking->number == 0 || booking->number == number);
-  booking->number = number;
+  int64_t booking_number
+      = json_integer_value (json_object_get (body, "booking"));
+  bool own = slot != NULL && strcmp (slot, booking->key) == 0
+             && booking_number > 0
+             && (booking->booking_number == 0
+                 || booking->booking_number == booking_number);
+  booking->booking_number = booking_number;
   json_decref (body);
   return own;
 }
 
-/* Returns how a call ended, and reads the error if there is one.  What the
-   caller may believe about its key is left in the call's `ran'.  */
+/* Returns how CALL ended.  Sets its `ran' to what its client may assume about
+   the effect, and reads the error body if there is one.  */
 static enum lt_outcome
-judge_booking (struct lt_call *call, CURLcode result)
+classify_booking (struct lt_call *call, CURLcode result)
 {
   long status = lt_call_status (call);
   g_strlcpy (call->ran, "unknown", sizeof call->ran);
@@ -103,79 +111,82 @@
   return LT_REFUSED;
 }
 
-/* Returns true when BOOKING, which has its answer, is to be asked once more,
-   and remembers that it was.  */
+/* Draws, once for each booking, whether the successful BOOKING is repeated.
+   Returns false on every later call.  */
 static bool
-take_repeat (struct lt_worker *worker, struct lt_booking *booking)
+draw_repeat (struct lt_worker *worker, struct lt_booking *booking)
 {
-  if (booking->repeated)
+  if (booking->repeat_drawn)
     {
       return false;
     }
-  booking->repeated = true;
+  booking->repeat_drawn = true;
   return g_rand_int_range (worker->random, 0, PERCENT)
          < (gint32)worker->options->repeat_percent;
 }
 
-/* Sends BOOKING again after WAIT_US, or gives it up after the last attempt.
-   One that is settled may be repeated once.  Frees it when nothing more can
-   come.  */
+/* Goes on with BOOKING once it has no open call: schedules a repeat of a
+   successful one, or a retry of another after at least WAIT_US.  Frees it when
+   no call follows, because it succeeded, used all attempts or the measured
+   time is over.  */
 static void
-go_on (struct lt_worker *worker, struct lt_booking *booking, int64_t wait_us)
+continue_booking (struct lt_worker *worker, struct lt_booking *booking,
+                  int64_t wait_us)
 {
   if (booking->open_calls > 0)
     {
       return;
     }
   int64_t now_us = clk_monotonic_us ();
-  if (booking->settled && now_us < worker->end_us
-      && take_repeat (worker, booking))
+  if (booking->succeeded && now_us < worker->end_us
+      && draw_repeat (worker, booking))
     {
       int64_t delay_us
           = g_rand_int_range (worker->random, REPEAT_MIN_US, REPEAT_MAX_US);
       lt_schedule (worker, LT_EVENT_RETRY, now_us + delay_us, 0, booking);
       return;
     }
-  if (booking->settled
+  if (booking->succeeded
       || booking->attempts >= worker->options->booking_attempts
       || now_us >= worker->end_us)
     {
-      worker->stats->unsettled += booking->settled ? 0 : 1;
+      worker->stats->abandoned_bookings += booking->succeeded ? 0 : 1;
       g_free (booking);
       return;
     }
-  lt_schedule (worker, LT_EVENT_RETRY,
-               now_us + MAX (wait_us, RETRY_DEFAULT_US), 0, booking);
+  lt_schedule (worker, LT_EVENT_RETRY, now_us + MAX (wait_us, RETRY_MIN_US), 0,
+               booking);
 }
 
-/* Ends one call of a booking: judges, counts and journals it.  */
+/* Finishes one call of a booking: classifies, counts and journals it, and goes
+   on with the booking.  */
 void
-lt_end_booking (struct lt_call *call, CURLcode result)
+lt_finish_booking (struct lt_call *call, CURLcode result)
 {
   struct lt_worker *worker = call->worker;
   const struct lt_options *options = worker->options;
   struct lt_booking *booking = call->booking;
-  enum lt_outcome outcome = judge_booking (call, result);
+  enum lt_outcome outcome = classify_booking (call, result);
   worker->stats->outcomes[LT_BOOKING][outcome]++;
-  lt_stats_kind (worker->stats, call->kind);
+  lt_stats_count_error (worker->stats, call->error_kind);
   jn_write (options->journal, "call",
             ",\"key\":\"%s\",\"request\":\"%s\",\"caller\":\"%s\","
             "\"account\":\"%s\",\"outcome\":\"%s\",\"status\":%ld,"
             "\"kind\":\"%s\",\"ran\":\"%s\",\"sent\":%" PRId64,
-            booking->key, call->request_id, options->callers[call->caller],
+            booking->key, call->request_id, options->daemon_urls[call->daemon],
             options->accounts[call->account].name, lt_outcome_name (outcome),
-            lt_call_status (call), call->kind, call->ran, call->sent_us);
+            lt_call_status (call), call->error_kind, call->ran, call->sent_us);
   booking->open_calls--;
-  if (outcome == LT_WHOLE && !booking->settled)
+  if (outcome == LT_WHOLE && !booking->succeeded)
     {
-      int64_t took_us = clk_monotonic_us () - booking->started_us;
-      g_array_append_val (worker->stats->settle_us, took_us);
+      int64_t latency_us = clk_monotonic_us () - booking->started_us;
+      g_array_append_val (worker->stats->booking_latency_us, latency_us);
     }
-  booking->settled = booking->settled || outcome == LT_WHOLE;
-  go_on (worker, booking, call->retry_after_us);
+  booking->succeeded = booking->succeeded || outcome == LT_WHOLE;
+  continue_booking (worker, booking, call->retry_after_us);
 }
 
-/* Starts a look-up.  */
+/* Starts a look-up by a random account.  */
 void
 lt_start_lookup (struct lt_worker *worker)
 {
@@ -187,9 +198,9 @@
   lt_call_send (call, path);
 }
 
-/* Ends a look-up.  */
+/* Finishes a look-up: classifies, counts and journals it.  */
 void
-lt_end_lookup (struct lt_call *call, CURLcode result)
+lt_finish_lookup (struct lt_call *call, CURLcode result)
 {
   long status = lt_call_status (call);
   enum lt_outcome outcome = LT_REFUSED;
@@ -207,10 +218,11 @@
       lt_call_read_error (call, call->received->str);
     }
   call->worker->stats->outcomes[LT_LOOKUP][outcome]++;
-  lt_stats_kind (call->worker->stats, call->kind);
+  lt_stats_count_error (call->worker->stats, call->error_kind);
   jn_write (call->worker->options->journal, "lookup",
             ",\"caller\":\"%s\",\"outcome\":\"%s\",\"status\":%ld,"
             "\"kind\":\"%s\",\"sent\":%" PRId64,
-            call->worker->options->callers[call->caller],
-            lt_outcome_name (outcome), status, call->kind, call->sent_us);
+            call->worker->options->daemon_urls[call->daemon],
+            lt_outcome_name (outcome), status, call->error_kind,
+            call->sent_us);
 }
--- a/standin/load_call.c
+++ b/standin/load_call.c
@@ -10,31 +10,32 @@
 #define REQUEST_ID_HEADER "x-request-id: "
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *user)
+receive_body (char *data, size_t size, size_t count, void *user)
 {
   struct lt_call *call = user;
   g_string_append_len (call->received, data, (gssize)(size * count));
   return size * count;
 }
 
-/* Keeps the request id that the daemon gave.  */
+/* Stores the request id that the daemon returned.  */
 static size_t
-take_header (char *data, size_t size, size_t count, void *user)
+receive_header (char *data, size_t size, size_t count, void *user)
 {
   struct lt_call *call = user;
   size_t bytes = size * count;
-  size_t name = strlen (REQUEST_ID_HEADER);
-  if (bytes > name && g_ascii_strncasecmp (data, REQUEST_ID_HEADER, name) == 0)
+  size_t name_bytes = strlen (REQUEST_ID_HEADER);
+  if (bytes > name_bytes
+      && g_ascii_strncasecmp (data, REQUEST_ID_HEADER, name_bytes) == 0)
     {
-      size_t length = MIN (bytes - name, sizeof call->request_id - 1);
-      memcpy (call->request_id, data + name, length);
+      size_t length = MIN (bytes - name_bytes, sizeof call->request_id - 1);
+      memcpy (call->request_id, data + name_bytes, length);
       call->request_id[length] = '\0';
       g_strchomp (call->request_id);
     }
   return bytes;
 }
 
-/* Creates a call of TYPE for ACCOUNT, to the daemon that is next in turn.  */
+/* Creates a call of TYPE by ACCOUNT to the daemon that the balancer picks.  */
 struct lt_call *
 lt_call_create (struct lt_worker *worker, enum lt_type type, uint32_t account)
 {
@@ -42,7 +43,7 @@
   call->worker = worker;
   call->type = type;
   call->account = account;
-  call->caller = lt_balancer_pick (worker->balancer);
+  call->daemon = lt_balancer_pick (worker->balancer);
   call->curl = curl_easy_init ();
   call->received = g_string_new (NULL);
   call->text = g_string_new (NULL);
@@ -56,13 +57,15 @@
   return call;
 }
 
-/* Sends CALL to PATH: POST when it has a body.  Each call opens a connection
-   of its own, so that nothing is sent twice behind the tool's back.  */
+/* Sends CALL to PATH, with POST when it has a body.  Each call opens a
+   connection of its own, so that no request is sent twice unseen: libcurl
+   resends one when a reused connection turns out to be closed.  */
 void
 lt_call_send (struct lt_call *call, const char *path)
 {
   struct lt_worker *worker = call->worker;
-  char *url = g_strconcat (worker->options->callers[call->caller], path, NULL);
+  char *url
+      = g_strconcat (worker->options->daemon_urls[call->daemon], path, NULL);
   CURL *curl = call->curl;
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
@@ -71,10 +74,10 @@
   curl_easy_setopt (curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, CALL_TIMEOUT_MS);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, call->headers);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, receive_header);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, call);
   curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION,
-                    call->type == LT_DRAFT ? lt_take_events : take_body);
+                    call->type == LT_DRAFT ? lt_receive_events : receive_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, call);
   curl_easy_setopt (curl, CURLOPT_PRIVATE, call);
   if (call->body != NULL)
@@ -87,7 +90,7 @@
   curl_multi_add_handle (worker->multi, curl);
 }
 
-/* Frees CALL; it is no longer part of the worker's transfers.  */
+/* Frees CALL, which must have been removed from the worker's transfers.  */
 void
 lt_call_destroy (struct lt_call *call)
 {
@@ -100,7 +103,7 @@
   g_free (call);
 }
 
-/* Returns the HTTP status, or 0 when no answer came.  */
+/* Returns the HTTP status of CALL, or 0 without an answer.  */
 long
 lt_call_status (const struct lt_call *call)
 {
@@ -109,7 +112,8 @@
   return status;
 }
 
-/* Reads the error body TEXT into CALL, as far as it is one.  */
+/* Copies kind, ran and retry_after_s from the error body TEXT to CALL, as far
+   as they are present.  */
 void
 lt_call_read_error (struct lt_call *call, const char *text)
 {
@@ -120,7 +124,7 @@
   const json_t *retry = json_object_get (error, "retry_after_s");
   if (kind != NULL)
     {
-      g_strlcpy (call->kind, kind, sizeof call->kind);
+      g_strlcpy (call->error_kind, kind, sizeof call->error_kind);
     }
   if (ran != NULL)
     {
--- a/standin/load_draft.c
+++ b/standin/load_draft.c
@@ -7,13 +7,15 @@
 #include <jansson.h>
 #include <string.h>
 
-#define RETRY_DEFAULT_US (100 * CLK_MS_US)
-#define EVENT_PREFIX "data: "
+/* Shortest time from a draft that failed to the next one of a closed loop. */
+#define RETRY_MIN_US (100 * CLK_MS_US)
+
+#define EVENT_DATA_PREFIX "data: "
 #define EVENT_END "[DONE]"
 
-/* Appends BYTES random letters and blanks.  */
+/* Appends BYTES random letters and spaces.  */
 static void
-append_words (GString *out, GRand *random, uint32_t bytes)
+append_random_letters (GString *out, GRand *random, uint32_t bytes)
 {
   for (uint32_t i = 0; i < bytes; i++)
     {
@@ -22,13 +24,15 @@
     }
 }
 
+/* Returns a random number from LOW to HIGH, both included.  */
 static uint32_t
 random_between (GRand *random, uint32_t low, uint32_t high)
 {
   return (uint32_t)g_rand_int_range (random, (gint32)low, (gint32)high + 1);
 }
 
-/* Returns the content of a new prompt.  */
+/* Returns a random prompt, to be freed by the caller.  It starts with one of
+   the shared prefixes, if there are any.  */
 static char *
 make_prompt (struct lt_worker *worker)
 {
@@ -38,16 +42,18 @@
     {
       GRand *shared = g_rand_new_with_seed (
           random_between (worker->random, 1, options->shared_prefixes));
-      append_words (prompt, shared, options->shared_prefix_bytes);
+      append_random_letters (prompt, shared, options->shared_prefix_bytes);
       g_rand_free (shared);
     }
-  append_words (prompt, worker->random,
-                random_between (worker->random, options->prompt_bytes_min,
-                                options->prompt_bytes_max));
+  append_random_letters (prompt, worker->random,
+                         random_between (worker->random,
+                                         options->prompt_bytes_min,
+                                         options->prompt_bytes_max));
   return g_string_free (prompt, FALSE);
 }
 
-/* Starts a draft of ACCOUNT.  */
+/* Starts a draft by ACCOUNT.  With CLOSED_LOOP the next draft follows when
+   this one ends.  */
 void
 lt_start_draft (struct lt_worker *worker, uint32_t account, bool closed_loop)
 {
@@ -71,14 +77,15 @@
   lt_call_send (call, "/v1/chat/completions");
 }
 
-/* Takes the text of one token.  */
+/* Records the TEXT of one token and the time at which it arrived.  */
 static void
-take_token (struct lt_call *call, const char *text)
+record_token (struct lt_call *call, const char *text)
 {
   struct lt_worker *worker = call->worker;
   struct lt_stats *stats = worker->stats;
   int64_t now_us = clk_monotonic_us ();
-  bool measured = now_us >= worker->measure_us && now_us < worker->end_us;
+  bool measured
+      = now_us >= worker->measure_start_us && now_us < worker->end_us;
   g_string_append (call->text, text);
   call->tokens++;
   call->measured_tokens += measured ? 1 : 0;
@@ -86,16 +93,16 @@
   int64_t window = (now_us - worker->start_us) / LT_WINDOW_US;
   if (window < stats->window_count)
     {
-      stats->windows[window]++;
+      stats->window_tokens[window]++;
     }
-  if (call->first_us == 0)
+  if (call->first_token_us == 0)
     {
-      call->first_us = now_us;
+      call->first_token_us = now_us;
     }
   else
     {
       int64_t gap_us = now_us - call->last_us;
-      call->longest_us = MAX (call->longest_us, gap_us);
+      call->longest_gap_us = MAX (call->longest_gap_us, gap_us);
       if (measured)
         {
           g_array_append_val (stats->gap_us, gap_us);
@@ -104,9 +111,9 @@
   call->last_us = now_us;
 }
 
-/* Takes the data of one event.  */
+/* Parses the DATA of one server-sent event: a token, an error or the end.  */
 static void
-take_event (struct lt_call *call, const char *data)
+parse_event (struct lt_call *call, const char *data)
 {
   if (strcmp (data, EVENT_END) == 0)
     {
@@ -124,14 +131,15 @@
       json_object_get (json_object_get (choice, "delta"), "content"));
   if (text != NULL && text[0] != '\0')
     {
-      take_token (call, text);
+      record_token (call, text);
     }
   json_decref (event);
 }
 
-/* Takes what arrived of a streamed answer, line by line.  */
+/* Receives a part of a streamed answer and parses the lines that are
+   complete.  */
 size_t
-lt_take_events (char *data, size_t size, size_t count, void *user)
+lt_receive_events (char *data, size_t size, size_t count, void *user)
 {
   struct lt_call *call = user;
   GString *received = call->received;
@@ -141,9 +149,9 @@
   while (end != NULL)
     {
       *end = '\0';
-      if (g_str_has_prefix (start, EVENT_PREFIX))
+      if (g_str_has_prefix (start, EVENT_DATA_PREFIX))
         {
-          take_event (call, start + strlen (EVENT_PREFIX));
+          parse_event (call, start + strlen (EVENT_DATA_PREFIX));
         }
       start = end + 1;
       size_t left = received->len - (size_t)(start - received->str);
@@ -153,9 +161,9 @@
   return size * count;
 }
 
-/* Returns how the answer compares with the model's.  */
+/* Returns how CALL ended, by comparing its answer with the model's.  */
 static enum lt_outcome
-judge (const struct lt_call *call, CURLcode result)
+classify_draft (const struct lt_call *call, CURLcode result)
 {
   const struct lt_options *options = call->worker->options;
   long status = lt_call_status (call);
@@ -183,32 +191,33 @@
     }
   else
     {
-      outcome = call->kind[0] != '\0' ? LT_FAILED : LT_CUT;
+      outcome = call->error_kind[0] != '\0' ? LT_FAILED : LT_CUT;
     }
   g_string_free (expected, TRUE);
   g_free (prompt);
   return outcome;
 }
 
-/* Counts a draft that ended with OUTCOME.  */
+/* Counts a draft that ended with OUTCOME at NOW_US.  Latencies count only for
+   drafts that were sent in the measured time and got a token.  */
 static void
 count_draft (struct lt_call *call, enum lt_outcome outcome, int64_t now_us)
 {
   struct lt_worker *worker = call->worker;
   struct lt_stats *stats = worker->stats;
   stats->outcomes[LT_DRAFT][outcome]++;
-  lt_stats_kind (stats, call->kind);
+  lt_stats_count_error (stats, call->error_kind);
   if (outcome == LT_WHOLE)
     {
-      stats->good_tokens += call->measured_tokens;
+      stats->goodput_tokens += call->measured_tokens;
     }
-  if (call->sent_us < worker->measure_us || call->first_us == 0)
+  if (call->sent_us < worker->measure_start_us || call->first_token_us == 0)
     {
       return;
     }
-  int64_t first_us = call->first_us - call->sent_us;
-  g_array_append_val (stats->first_us, first_us);
-  g_array_append_val (stats->pause_us, call->longest_us);
+  int64_t first_token_us = call->first_token_us - call->sent_us;
+  g_array_append_val (stats->first_token_us, first_token_us);
+  g_array_append_val (stats->longest_gap_us, call->longest_gap_us);
   if (outcome == LT_WHOLE)
     {
       int64_t latency_us = now_us - call->sent_us;
@@ -217,36 +226,36 @@
     }
 }
 
-/* Ends a draft: judges, counts and journals it; in a closed loop the next one
-   follows.  */
+/* Finishes a draft: classifies, counts and journals it, and schedules the next
+   one of a closed loop.  */
 void
-lt_end_draft (struct lt_call *call, CURLcode result)
+lt_finish_draft (struct lt_call *call, CURLcode result)
 {
   struct lt_worker *worker = call->worker;
   const struct lt_options *options = worker->options;
   int64_t now_us = clk_monotonic_us ();
-  enum lt_outcome outcome = judge (call, result);
+  enum lt_outcome outcome = classify_draft (call, result);
   if (outcome == LT_REFUSED)
     {
       lt_call_read_error (call, call->received->str);
     }
   count_draft (call, outcome, now_us);
-  jn_write (options->journal, "draft",
-            ",\"request\":\"%s\",\"caller\":\"%s\",\"account\":\"%s\","
-            "\"outcome\":\"%s\",\"status\":%ld,\"kind\":\"%s\",\"tokens\":%u,"
-            "\"sent\":%" PRId64 ",\"first_us\":%" PRId64
-            ",\"longest_us\":%" PRId64,
-            call->request_id, options->callers[call->caller],
-            options->accounts[call->account].name, lt_outcome_name (outcome),
-            lt_call_status (call), call->kind, call->tokens, call->sent_us,
-            call->first_us == 0 ? -1 : call->first_us - call->sent_us,
-            call->longest_us);
+  jn_write (
+      options->journal, "draft",
+      ",\"request\":\"%s\",\"caller\":\"%s\",\"account\":\"%s\","
+      "\"outcome\":\"%s\",\"status\":%ld,\"kind\":\"%s\",\"tokens\":%u,"
+      "\"sent\":%" PRId64 ",\"first_us\":%" PRId64 ",\"longest_us\":%" PRId64,
+      call->request_id, options->daemon_urls[call->daemon],
+      options->accounts[call->account].name, lt_outcome_name (outcome),
+      lt_call_status (call), call->error_kind, call->tokens, call->sent_us,
+      call->first_token_us == 0 ? -1 : call->first_token_us - call->sent_us,
+      call->longest_gap_us);
   if (call->closed_loop)
     {
       int64_t wait_us = 0;
       if (outcome != LT_WHOLE)
         {
-          wait_us = MAX (call->retry_after_us, RETRY_DEFAULT_US);
+          wait_us = MAX (call->retry_after_us, RETRY_MIN_US);
         }
       lt_schedule (worker, LT_EVENT_NEXT_DRAFT, now_us + wait_us,
                    call->account, NULL);
--- a/standin/load_main.c
+++ b/standin/load_main.c
@@ -6,6 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* The command line arguments. */
 struct arguments
 {
   struct arg_str *callers;
@@ -32,11 +33,12 @@
   struct arg_str *summary;
 };
 
-/* Defines the command line in TABLE.  */
+/* Defines the arguments A with their default values and lists them in TABLE
+   for argtable.  */
 static void
-define (struct arguments *a, void **table)
+define_arguments (struct arguments *a, void **table)
 {
-  a->callers = arg_strn (NULL, "caller", "URL", 1, LT_CALLERS_MAX,
+  a->callers = arg_strn (NULL, "caller", "URL", 1, LT_DAEMONS_MAX,
                          "of a daemon; they are used in turn");
   a->accounts = arg_strn (NULL, "account", "NAME,TOKEN,open=R|closed=N", 1,
                           LT_ACCOUNTS_MAX, "R drafts a second or N streams");
@@ -86,21 +88,21 @@
   a->seed->ival[0] = 1;
 }
 
-/* Reads `MIN-MAX'.  Returns false when it is malformed.  */
+/* Parses `MIN-MAX'.  Returns false when TEXT is malformed.  */
 static gboolean
 read_range (const char *text, uint32_t *low, uint32_t *high)
 {
   return sscanf (text, "%u-%u", low, high) == 2 && *low <= *high; // NOLINT
 }
 
-/* Reads `NAME,TOKEN,open=R' or `NAME,TOKEN,closed=N'.  Returns false when it
-   is malformed.  */
+/* Parses `NAME,TOKEN,open=R' or `NAME,TOKEN,closed=N'.  Returns false when
+   TEXT is malformed.  */
 static gboolean
 read_account (const char *text, struct lt_account *account)
 {
   gchar **parts = g_strsplit (text, ",", 3);
-  gboolean good = g_strv_length (parts) == 3;
-  if (good)
+  gboolean valid = g_strv_length (parts) == 3;
+  if (valid)
     {
       account->name = g_strdup (parts[0]);
       account->token = g_strdup (parts[1]);
@@ -115,20 +117,20 @@
         }
       else
         {
-          good = FALSE;
+          valid = FALSE;
         }
     }
   g_strfreev (parts);
-  return good;
+  return valid;
 }
 
-/* Turns the parsed ARGUMENTS into OPTIONS.  Returns false when a value is
+/* Converts the parsed arguments A to OPTIONS.  Returns false when a value is
    malformed.  */
 static gboolean
-fill (const struct arguments *a, struct lt_options *options)
+read_options (const struct arguments *a, struct lt_options *options)
 {
   *options = (struct lt_options){
-    .caller_count = (uint32_t)a->callers->count,
+    .daemon_count = (uint32_t)a->callers->count,
     .account_count = (uint32_t)a->accounts->count,
     .model = a->model->sval[0],
     .layers = (uint32_t)a->layers->ival[0],
@@ -138,33 +140,34 @@
     .bookings_per_s = a->bookings->dval[0],
     .lookups_per_s = a->lookups->dval[0],
     .booking_attempts = (uint32_t)a->attempts->ival[0],
-    .twin_percent = (uint32_t)a->twins->ival[0],
+    .duplicate_percent = (uint32_t)a->twins->ival[0],
     .repeat_percent = (uint32_t)a->repeats->ival[0],
     .deadline_ms = (uint32_t)a->deadline->ival[0],
     .warmup_s = a->warmup->dval[0],
-    .seconds = a->seconds->dval[0],
+    .measure_s = a->seconds->dval[0],
     .drain_s = a->drain->dval[0],
     .threads = (uint32_t)a->threads->ival[0],
     .seed = (uint32_t)a->seed->ival[0],
   };
   for (int i = 0; i < a->callers->count; i++)
     {
-      options->callers[i] = a->callers->sval[i];
+      options->daemon_urls[i] = a->callers->sval[i];
     }
-  gboolean good = TRUE;
+  gboolean valid = TRUE;
   for (int i = 0; i < a->accounts->count; i++)
     {
-      good
-          = good && read_account (a->accounts->sval[i], &options->accounts[i]);
+      valid = valid
+              && read_account (a->accounts->sval[i], &options->accounts[i]);
     }
-  return good && options->threads > 0
+  return valid && options->threads > 0
          && read_range (a->prompt_bytes->sval[0], &options->prompt_bytes_min,
                         &options->prompt_bytes_max)
          && read_range (a->tokens->sval[0], &options->tokens_min,
                         &options->tokens_max);
 }
 
-/* Writes SUMMARY to PATH, or to standard output when it is NULL.  */
+/* Writes SUMMARY to PATH, or to standard output when PATH is NULL.  Returns
+   the exit status.  */
 static int
 write_summary (const char *path, const char *summary)
 {
@@ -184,14 +187,14 @@
 {
   struct arguments arguments;
   void *table[sizeof arguments / sizeof (void *) + 1];
-  define (&arguments, table);
+  define_arguments (&arguments, table);
   int status = prg_parse (argc, argv, table);
   if (status != 0)
     {
       return status;
     }
   struct lt_options options;
-  if (!fill (&arguments, &options))
+  if (!read_options (&arguments, &options))
     {
       fputs ("a range is MIN-MAX, an account NAME,TOKEN,open=R or closed=N\n",
              stderr);
--- a/standin/load_private.h
+++ b/standin/load_private.h
@@ -1,4 +1,4 @@
-/* What the files of the load tool share. */
+/* Internals of the load generator: calls, bookings, workers and statistics. */
 #ifndef STANDIN_LOAD_PRIVATE_H
 #define STANDIN_LOAD_PRIVATE_H
 
@@ -8,40 +8,43 @@
 #include <stdatomic.h>
 #include <stdbool.h>
 
-#define LT_KIND_BYTES 32
+#define LT_ERROR_KIND_BYTES 32
 #define LT_KEY_BYTES 64
+
+/* Length of the windows in which the summary counts tokens. */
 #define LT_WINDOW_US 100000
 
 enum lt_type
 {
-  LT_DRAFT,
-  LT_BOOKING,
-  LT_LOOKUP
+  LT_DRAFT,   /* a streamed answer of the model */
+  LT_BOOKING, /* a call with an idempotency key */
+  LT_LOOKUP   /* a call that may be repeated */
 };
 
+/* How a call ended. */
 enum lt_outcome
 {
-  LT_WHOLE,       /* complete and right */
-  LT_WRONG,       /* another answer than the model's or the service's */
-  LT_CUT,         /* the connection ended in mid-answer */
-  LT_FAILED,      /* an error event after the first token */
+  LT_WHOLE,       /* a complete and right answer */
+  LT_WRONG,       /* not the answer that the model or service gives */
+  LT_CUT,         /* the connection ended before the answer did */
+  LT_FAILED,      /* an error event in the stream */
   LT_REFUSED,     /* an error status */
-  LT_UNCONNECTED, /* nothing was sent */
-  LT_UNFINISHED,  /* still under way when the tool ended */
-  LT_OUTCOMES
+  LT_UNCONNECTED, /* no connection, so nothing was sent */
+  LT_UNFINISHED,  /* still open when the load generator ended */
+  LT_OUTCOMES     /* number of outcomes */
 };
 
-/* One booking with its key, over all its attempts. */
+/* A booking with its idempotency key, over all its attempts. */
 struct lt_booking
 {
-  char key[LT_KEY_BYTES]; /* and the slot */
+  char key[LT_KEY_BYTES]; /* idempotency key, and the slot that is booked */
   uint32_t account;
   uint32_t attempts;
-  uint32_t open_calls;
+  uint32_t open_calls; /* not answered yet */
   int64_t started_us;
-  bool settled;
-  bool repeated;
-  int64_t number; /* that the service gave; 0: none yet */
+  bool succeeded;         /* a call had the outcome LT_WHOLE */
+  bool repeat_drawn;      /* whether to repeat has been drawn */
+  int64_t booking_number; /* returned by the service; 0: none yet */
 };
 
 /* One HTTP call. */
@@ -51,49 +54,51 @@
   CURL *curl;
   struct curl_slist *headers;
   enum lt_type type;
-  uint32_t account;
-  uint32_t caller;
-  bool closed_loop; /* the next draft starts when this one ends */
+  uint32_t account; /* index in the options */
+  uint32_t daemon;  /* index in the options */
+  bool closed_loop; /* starts the next draft when this one ends */
   char *body;
   int64_t sent_us;
-  GString *received; /* not yet parsed, or the whole body */
+  GString *received; /* of a draft, what is not parsed yet; else the body */
   char request_id[LT_KEY_BYTES];
-  char kind[LT_KIND_BYTES]; /* of an error; "" for none */
-  char ran[LT_KIND_BYTES];
-  int64_t retry_after_us;
+  char error_kind[LT_ERROR_KIND_BYTES]; /* "" without an error */
+  char ran[LT_ERROR_KIND_BYTES]; /* whether the call took effect: "yes", "no",
+                                    "unknown" or "unsent" */
+  int64_t retry_after_us;        /* from the error body; 0: none */
   /* drafts */
   char *prompt;
   uint32_t max_tokens;
-  GString *text;
-  bool done;
+  GString *text; /* of the tokens so far */
+  bool done;     /* the end event came */
   uint32_t tokens;
   uint32_t measured_tokens;
-  int64_t first_us; /* 0: no token yet */
-  int64_t last_us;
-  int64_t longest_us; /* between two tokens */
+  int64_t first_token_us; /* when the first token came; 0: none yet */
+  int64_t last_us;        /* when the latest token came */
+  int64_t longest_gap_us; /* between two tokens */
   /* bookings */
   struct lt_booking *booking;
 };
 
-/* What one worker measured. */
+/* The measurements of one worker, or of all once merged. */
 struct lt_stats
 {
-  GArray *first_us; /* int64_t, of each draft */
-  GArray *gap_us;   /* between tokens */
-  GArray *pause_us; /* the longest gap of each draft */
-  GArray *account_latency_us[LT_ACCOUNTS_MAX]; /* whole drafts */
-  GArray *settle_us;                           /* whole bookings */
-  uint32_t *windows;                           /* tokens */
+  GArray *first_token_us; /* int64_t, one for each draft */
+  GArray *gap_us;         /* one for each pair of successive tokens */
+  GArray *longest_gap_us; /* one for each draft */
+  GArray *account_latency_us[LT_ACCOUNTS_MAX]; /* one for each whole draft */
+  GArray *booking_latency_us; /* one for each successful booking */
+  uint32_t *window_tokens;    /* tokens in each window */
   uint32_t window_count;
   uint64_t outcomes[LT_LOOKUP + 1][LT_OUTCOMES];
-  uint64_t tokens;      /* while measured */
-  uint64_t good_tokens; /* of whole answers */
-  GHashTable *kinds;    /* error kind to count */
-  uint64_t unsettled;   /* bookings given up */
+  uint64_t tokens;             /* in the measured time */
+  uint64_t goodput_tokens;     /* those of whole answers */
+  GHashTable *error_kinds;     /* kind to count */
+  uint64_t abandoned_bookings; /* that never succeeded */
 };
 
 struct lt_balancer;
 
+/* One thread with its own event queue and transfers. */
 struct lt_worker
 {
   const struct lt_options *options;
@@ -101,13 +106,13 @@
   uint32_t index;
   GRand *random;
   CURLM *multi;
-  GSequence *events;
-  GHashTable *calls; /* set of struct lt_call under way */
+  GSequence *events; /* scheduled, by due time */
+  GHashTable *calls; /* set of open struct lt_call */
   struct lt_stats *stats;
-  int64_t start_us;   /* of the tool */
-  int64_t measure_us; /* the measured time starts */
-  int64_t end_us;
-  uint32_t next_number;
+  int64_t start_us;         /* of the warm-up */
+  int64_t measure_start_us; /* of the measured time */
+  int64_t end_us;           /* of the measured time */
+  uint32_t next_number;     /* in the keys and look-ups */
 };
 
 struct lt_balancer *lt_balancer_create (const struct lt_options *options);
@@ -116,12 +121,12 @@
 
 void lt_start_draft (struct lt_worker *worker, uint32_t account,
                      bool closed_loop);
-void lt_end_draft (struct lt_call *call, CURLcode result);
+void lt_finish_draft (struct lt_call *call, CURLcode result);
 void lt_start_booking (struct lt_worker *worker);
 void lt_retry_booking (struct lt_worker *worker, struct lt_booking *booking);
-void lt_end_booking (struct lt_call *call, CURLcode result);
+void lt_finish_booking (struct lt_call *call, CURLcode result);
 void lt_start_lookup (struct lt_worker *worker);
-void lt_end_lookup (struct lt_call *call, CURLcode result);
+void lt_finish_lookup (struct lt_call *call, CURLcode result);
 
 struct lt_call *lt_call_create (struct lt_worker *worker, enum lt_type type,
                                 uint32_t account);
@@ -129,25 +134,26 @@
 void lt_call_destroy (struct lt_call *call);
 long lt_call_status (const struct lt_call *call);
 void lt_call_read_error (struct lt_call *call, const char *text);
-size_t lt_take_events (char *data, size_t size, size_t count, void *user);
+size_t lt_receive_events (char *data, size_t size, size_t count, void *user);
 
+/* What a worker does when an event is due. */
 enum lt_event_type
 {
-  LT_EVENT_DRAFT,      /* open loop */
-  LT_EVENT_NEXT_DRAFT, /* closed loop */
+  LT_EVENT_DRAFT,      /* starts an open-loop draft */
+  LT_EVENT_NEXT_DRAFT, /* starts a closed-loop draft */
   LT_EVENT_BOOKING,
   LT_EVENT_LOOKUP,
-  LT_EVENT_RETRY
+  LT_EVENT_RETRY /* sends a booking again */
 };
 
 void lt_schedule (struct lt_worker *worker, enum lt_event_type type,
                   int64_t due_us, uint32_t account,
                   struct lt_booking *booking);
 
-struct lt_stats *lt_stats_create (uint32_t windows);
+struct lt_stats *lt_stats_create (uint32_t window_count);
 void lt_stats_destroy (struct lt_stats *stats);
 void lt_stats_merge (struct lt_stats *stats, const struct lt_stats *more);
-void lt_stats_kind (struct lt_stats *stats, const char *kind);
+void lt_stats_count_error (struct lt_stats *stats, const char *error_kind);
 char *lt_stats_summary (const struct lt_stats *stats,
                         const struct lt_options *options, int64_t start_us);
 const char *lt_outcome_name (enum lt_outcome outcome);
--- a/standin/load_stats.c
+++ b/standin/load_stats.c
@@ -20,7 +20,7 @@
   [LT_LOOKUP] = "lookups",
 };
 
-/* Returns the name of OUTCOME in journal and summary.  */
+/* Returns the name of OUTCOME in the journal and the summary.  */
 const char *
 lt_outcome_name (enum lt_outcome outcome)
 {
@@ -28,27 +28,28 @@
 }
 
 static GArray *
-new_samples (void)
+create_samples (void)
 {
   return g_array_new (FALSE, FALSE, sizeof (int64_t));
 }
 
-/* Creates empty statistics with WINDOWS windows of LT_WINDOW_US.  */
+/* Creates empty statistics with WINDOW_COUNT windows of LT_WINDOW_US.  */
 struct lt_stats *
-lt_stats_create (uint32_t windows)
+lt_stats_create (uint32_t window_count)
 {
   struct lt_stats *stats = g_new0 (struct lt_stats, 1);
-  stats->first_us = new_samples ();
-  stats->gap_us = new_samples ();
-  stats->pause_us = new_samples ();
-  stats->settle_us = new_samples ();
+  stats->first_token_us = create_samples ();
+  stats->gap_us = create_samples ();
+  stats->longest_gap_us = create_samples ();
+  stats->booking_latency_us = create_samples ();
   for (int i = 0; i < LT_ACCOUNTS_MAX; i++)
     {
-      stats->account_latency_us[i] = new_samples ();
+      stats->account_latency_us[i] = create_samples ();
     }
-  stats->windows = g_new0 (uint32_t, windows);
-  stats->window_count = windows;
-  stats->kinds = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  stats->window_tokens = g_new0 (uint32_t, window_count);
+  stats->window_count = window_count;
+  stats->error_kinds
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return stats;
 }
 
@@ -56,35 +57,36 @@
 void
 lt_stats_destroy (struct lt_stats *stats)
 {
-  g_array_free (stats->first_us, TRUE);
+  g_array_free (stats->first_token_us, TRUE);
   g_array_free (stats->gap_us, TRUE);
-  g_array_free (stats->pause_us, TRUE);
-  g_array_free (stats->settle_us, TRUE);
+  g_array_free (stats->longest_gap_us, TRUE);
+  g_array_free (stats->booking_latency_us, TRUE);
   for (int i = 0; i < LT_ACCOUNTS_MAX; i++)
     {
       g_array_free (stats->account_latency_us[i], TRUE);
     }
-  g_free (stats->windows);
-  g_hash_table_destroy (stats->kinds);
+  g_free (stats->window_tokens);
+  g_hash_table_destroy (stats->error_kinds);
   g_free (stats);
 }
 
 /* Counts AMOUNT errors of KIND.  */
 static void
-count_kind (struct lt_stats *stats, const char *kind, gsize amount)
+count_errors (struct lt_stats *stats, const char *kind, gsize amount)
 {
-  gsize count = GPOINTER_TO_SIZE (g_hash_table_lookup (stats->kinds, kind));
-  g_hash_table_replace (stats->kinds, g_strdup (kind),
+  gsize count
+      = GPOINTER_TO_SIZE (g_hash_table_lookup (stats->error_kinds, kind));
+  g_hash_table_replace (stats->error_kinds, g_strdup (kind),
                         GSIZE_TO_POINTER (count + amount));
 }
 
 /* Counts one error of KIND; "" counts nothing.  */
 void
-lt_stats_kind (struct lt_stats *stats, const char *kind)
+lt_stats_count_error (struct lt_stats *stats, const char *kind)
 {
   if (kind[0] != '\0')
     {
-      count_kind (stats, kind, 1);
+      count_errors (stats, kind, 1);
     }
 }
 
@@ -94,14 +96,15 @@
   g_array_append_vals (samples, more->data, more->len);
 }
 
-/* Adds MORE to STATS.  Both have the same number of windows.  */
+/* Adds the figures of MORE to STATS.  Both must have the same number of
+   windows.  */
 void
 lt_stats_merge (struct lt_stats *stats, const struct lt_stats *more)
 {
-  merge_samples (stats->first_us, more->first_us);
+  merge_samples (stats->first_token_us, more->first_token_us);
   merge_samples (stats->gap_us, more->gap_us);
-  merge_samples (stats->pause_us, more->pause_us);
-  merge_samples (stats->settle_us, more->settle_us);
+  merge_samples (stats->longest_gap_us, more->longest_gap_us);
+  merge_samples (stats->booking_latency_us, more->booking_latency_us);
   for (int i = 0; i < LT_ACCOUNTS_MAX; i++)
     {
       merge_samples (stats->account_latency_us[i],
@@ -109,7 +112,7 @@
     }
   for (uint32_t i = 0; i < stats->window_count; i++)
     {
-      stats->windows[i] += more->windows[i];
+      stats->window_tokens[i] += more->window_tokens[i];
     }
   for (int type = 0; type <= LT_LOOKUP; type++)
     {
@@ -121,14 +124,14 @@
   GHashTableIter iterator;
   gpointer kind;
   gpointer count;
-  g_hash_table_iter_init (&iterator, more->kinds);
+  g_hash_table_iter_init (&iterator, more->error_kinds);
   while (g_hash_table_iter_next (&iterator, &kind, &count))
     {
-      count_kind (stats, kind, GPOINTER_TO_SIZE (count));
+      count_errors (stats, kind, GPOINTER_TO_SIZE (count));
     }
   stats->tokens += more->tokens;
-  stats->good_tokens += more->good_tokens;
-  stats->unsettled += more->unsettled;
+  stats->goodput_tokens += more->goodput_tokens;
+  stats->abandoned_bookings += more->abandoned_bookings;
 }
 
 static gint
@@ -139,8 +142,8 @@
   return left < right ? -1 : left > right;
 }
 
-/* Returns the value in milliseconds below which FRACTION of the sorted SAMPLES
-   lie.  */
+/* Returns the quantile FRACTION, from 0 to 1, of the sorted SAMPLES in
+   milliseconds, or 0 without samples.  SAMPLES are in microseconds.  */
 static double
 quantile_ms (const GArray *samples, double fraction)
 {
@@ -152,7 +155,7 @@
   return (double)g_array_index (samples, int64_t, index) / 1000;
 }
 
-/* Sorts SAMPLES and returns their quantiles.  */
+/* Sorts SAMPLES and returns their count and quantiles in milliseconds.  */
 static json_t *
 quantiles (GArray *samples)
 {
@@ -176,13 +179,13 @@
 }
 
 static json_t *
-kind_counts (GHashTable *kinds)
+error_kind_counts (GHashTable *error_kinds)
 {
   json_t *object = json_object ();
   GHashTableIter iterator;
   gpointer kind;
   gpointer count;
-  g_hash_table_iter_init (&iterator, kinds);
+  g_hash_table_iter_init (&iterator, error_kinds);
   while (g_hash_table_iter_next (&iterator, &kind, &count))
     {
       json_object_set_new (
@@ -191,7 +194,8 @@
   return object;
 }
 
-/* Returns the summary of STATS as JSON, owned by the caller.  */
+/* Returns the summary of STATS as JSON, to be freed by the caller.  START_US
+   is the monotonic time at which the load started.  */
 char *
 lt_stats_summary (const struct lt_stats *stats,
                   const struct lt_options *options, int64_t start_us)
@@ -199,24 +203,26 @@
   json_t *root = json_object ();
   json_object_set_new (root, "start_us", json_integer (start_us));
   json_object_set_new (root, "warmup_s", json_real (options->warmup_s));
-  json_object_set_new (root, "seconds", json_real (options->seconds));
+  json_object_set_new (root, "seconds", json_real (options->measure_s));
   json_object_set_new (root, "tokens_per_s",
-                       json_real ((double)stats->tokens / options->seconds));
+                       json_real ((double)stats->tokens / options->measure_s));
   json_object_set_new (
       root, "goodput_tokens_per_s",
-      json_real ((double)stats->good_tokens / options->seconds));
+      json_real ((double)stats->goodput_tokens / options->measure_s));
   for (int type = 0; type <= LT_LOOKUP; type++)
     {
       json_object_set_new (root, type_names[type],
                            outcome_counts (stats->outcomes[type]));
     }
   json_object_set_new (root, "bookings_given_up",
-                       json_integer ((json_int_t)stats->unsettled));
-  json_object_set_new (root, "kinds", kind_counts (stats->kinds));
-  json_object_set_new (root, "first_token_ms", quantiles (stats->first_us));
+                       json_integer ((json_int_t)stats->abandoned_bookings));
+  json_object_set_new (root, "kinds", error_kind_counts (stats->error_kinds));
+  json_object_set_new (root, "first_token_ms",
+                       quantiles (stats->first_token_us));
   json_object_set_new (root, "between_tokens_ms", quantiles (stats->gap_us));
-  json_object_set_new (root, "pause_ms", quantiles (stats->pause_us));
-  json_object_set_new (root, "booking_ms", quantiles (stats->settle_us));
+  json_object_set_new (root, "pause_ms", quantiles (stats->longest_gap_us));
+  json_object_set_new (root, "booking_ms",
+                       quantiles (stats->booking_latency_us));
   json_t *accounts = json_object ();
   for (uint32_t i = 0; i < options->account_count; i++)
     {
@@ -224,13 +230,14 @@
                            quantiles (stats->account_latency_us[i]));
     }
   json_object_set_new (root, "account_draft_ms", accounts);
-  json_t *windows = json_array ();
+  json_t *window_tokens = json_array ();
   for (uint32_t i = 0; i < stats->window_count; i++)
     {
-      json_array_append_new (windows, json_integer (stats->windows[i]));
+      json_array_append_new (window_tokens,
+                             json_integer (stats->window_tokens[i]));
     }
   json_object_set_new (root, "window_ms", json_integer (LT_WINDOW_US / 1000));
-  json_object_set_new (root, "windows", windows);
+  json_object_set_new (root, "windows", window_tokens);
   char *text = json_dumps (root, JSON_COMPACT | JSON_REAL_PRECISION (9));
   json_decref (root);
   return text;
--- a/test/standin_load_test.c
+++ b/test/standin_load_test.c
@@ -15,18 +15,19 @@
 #define LAYERS 4
 #define TOKENS 5
 
+/* How the daemon answers. */
 enum behaviour
 {
   RIGHT,
   WRONG_TOKEN,
-  ANOTHERS, /* the answer to another prompt, or a booking of another slot */
-  SHORT,    /* the last token is missing */
-  DOUBLED,  /* the first token comes twice */
-  NO_END,
-  BROKEN, /* an error event after the first token */
+  OTHER_REQUEST,  /* answers for another prompt, or books another slot */
+  MISSING_TOKEN,  /* leaves out the last token */
+  REPEATED_TOKEN, /* sends the first token twice */
+  NO_END_EVENT,
+  ERROR_EVENT, /* sends an error event after the first token */
   REFUSED,
   LOST,
-  BOOKED_AGAIN /* a repeat gets another booking */
+  NEW_BOOKING /* answers a repeat with another booking */
 };
 
 struct daemon
@@ -39,26 +40,27 @@
 {
   const char *name;
   enum behaviour behaviour;
-  bool bookings;       /* else drafts */
-  const char *outcome; /* of every answer, but for those judged ALSO */
-  const char *also;
+  bool bookings;            /* else drafts */
+  const char *outcome;      /* of every answer, except ALSO_ALLOWED */
+  const char *also_allowed; /* another outcome that may occur, or NULL */
 };
 
 static const struct load_case cases[] = {
   { "right", RIGHT, false, "whole", NULL },
   { "one token differs", WRONG_TOKEN, false, "wrong", NULL },
-  { "another's answer", ANOTHERS, false, "wrong", NULL },
-  { "a token is missing", SHORT, false, "wrong", NULL },
-  { "a token is doubled", DOUBLED, false, "wrong", NULL },
-  { "no end", NO_END, false, "cut", NULL },
-  { "lost", LOST, false, "cut", NULL },
-  { "error after the first token", BROKEN, false, "failed", NULL },
+  { "answer to another prompt", OTHER_REQUEST, false, "wrong", NULL },
+  { "a token is missing", MISSING_TOKEN, false, "wrong", NULL },
+  { "a token is repeated", REPEATED_TOKEN, false, "wrong", NULL },
+  { "no end event", NO_END_EVENT, false, "cut", NULL },
+  { "answer lost", LOST, false, "cut", NULL },
+  { "error after the first token", ERROR_EVENT, false, "failed", NULL },
   { "refused", REFUSED, false, "refused", NULL },
   { "booked", RIGHT, true, "whole", NULL },
-  { "another's booking", ANOTHERS, true, "wrong", NULL },
-  { "booking lost", LOST, true, "cut", NULL },
+  { "booking of another slot", OTHER_REQUEST, true, "wrong", NULL },
+  { "answer to a booking lost", LOST, true, "cut", NULL },
   { "booking refused", REFUSED, true, "refused", NULL },
-  { "booked twice", BOOKED_AGAIN, true, "wrong", "whole" },
+  { "repeat answered with another booking", NEW_BOOKING, true, "wrong",
+    "whole" },
 };
 
 static const char error_event[]
@@ -73,32 +75,33 @@
       word);
 }
 
-/* Streams the answer to CONTENT as BEHAVIOUR says.  */
+/* Appends the streamed answer to CONTENT, with the fault of BEHAVIOUR.  */
 static void
 stream_answer (enum behaviour behaviour, const char *content, GString *out)
 {
   GString *text = g_string_new (NULL);
-  char *prompt
-      = g_strdup_printf ("user: %s%s\n", content,
-                         behaviour == ANOTHERS ? " for the other crew" : "");
+  char *prompt = g_strdup_printf (
+      "user: %s%s\n", content,
+      behaviour == OTHER_REQUEST ? " for the other crew" : "");
   md_answer (MODEL, LAYERS, prompt, TOKENS, text);
   gchar **words = g_strsplit (g_strchomp (text->str), " ", -1);
   guint count = g_strv_length (words);
-  for (guint i = 0; i < count && !(behaviour == SHORT && i == count - 1); i++)
+  for (guint i = 0;
+       i < count && !(behaviour == MISSING_TOKEN && i == count - 1); i++)
     {
       bool other = behaviour == WRONG_TOKEN && i == count / 2;
       append_token (out, other ? "zuzuzu" : words[i]);
-      if (behaviour == DOUBLED && i == 0)
+      if (behaviour == REPEATED_TOKEN && i == 0)
         {
           append_token (out, words[i]);
         }
-      if (behaviour == BROKEN)
+      if (behaviour == ERROR_EVENT)
         {
           g_string_append_printf (out, "data: %s\n\n", error_event);
           break;
         }
     }
-  if (behaviour != NO_END && behaviour != BROKEN)
+  if (behaviour != NO_END_EVENT && behaviour != ERROR_EVENT)
     {
       g_string_append (out, "data: [DONE]\n\n");
     }
@@ -107,7 +110,7 @@
   g_string_free (text, TRUE);
 }
 
-/* Answers like a daemon that behaves as USER says.  */
+/* Answers as the daemon USER, with the fault of its behaviour.  */
 static void
 handle (void *user, const struct hs_request *request, struct hs_answer *answer)
 {
@@ -128,10 +131,10 @@
   const char *slot = json_string_value (json_object_get (body, "slot"));
   if (slot != NULL)
     {
-      int number = behaviour == BOOKED_AGAIN ? ++daemon->bookings : 1;
+      int number = behaviour == NEW_BOOKING ? ++daemon->bookings : 1;
       g_string_append_printf (answer->body,
                               "{\"booking\":%d,\"slot\":\"%s%s\"}", number,
-                              slot, behaviour == ANOTHERS ? "x" : "");
+                              slot, behaviour == OTHER_REQUEST ? "x" : "");
     }
   else
     {
@@ -144,7 +147,7 @@
   json_decref (body);
 }
 
-/* Runs a short load against a daemon that behaves as ENTRY says.  Returns the
+/* Runs a short load against a daemon with the behaviour of ENTRY.  Returns the
    summary.  */
 static json_t *
 run_load (const struct load_case *entry)
@@ -159,8 +162,8 @@
   assert_non_null (daemon);
   char *url = g_strdup_printf ("http://127.0.0.1:%u", hs_port (daemon));
   const struct lt_options options = {
-    .callers = { url },
-    .caller_count = 1,
+    .daemon_urls = { url },
+    .daemon_count = 1,
     .accounts = { { .name = (char *)"clerks",
                     .token = (char *)"secret",
                     .streams = entry->bookings ? 0 : 1 } },
@@ -174,8 +177,8 @@
     .service = "bookings",
     .bookings_per_s = entry->bookings ? 100 : 0,
     .booking_attempts = 1,
-    .repeat_percent = entry->behaviour == BOOKED_AGAIN ? 100 : 0,
-    .seconds = entry->behaviour == BOOKED_AGAIN ? 1 : 0.2,
+    .repeat_percent = entry->behaviour == NEW_BOOKING ? 100 : 0,
+    .measure_s = entry->behaviour == NEW_BOOKING ? 1 : 0.2,
     .drain_s = 20,
     .threads = 1,
     .seed = 1,
@@ -188,8 +191,8 @@
   return summary;
 }
 
-/* Fails unless every answer that OUTCOMES counts was judged as ENTRY says.
-   Returns how many had the main outcome.  */
+/* Fails unless every answer in OUTCOMES has an outcome that ENTRY allows.
+   Returns the number of answers with the main one.  */
 static json_int_t
 check_outcomes (const struct load_case *entry, json_t *outcomes)
 {
@@ -203,20 +206,20 @@
         total += json_integer_value (count);
       }
     else if (json_integer_value (count) > 0
-             && g_strcmp0 (outcome, entry->also) != 0)
+             && g_strcmp0 (outcome, entry->also_allowed) != 0)
       {
-        fail_msg ("%s: %d answers were judged %s", entry->name,
+        fail_msg ("%s: %d answers were classified as %s", entry->name,
                   (int)json_integer_value (count), outcome);
       }
   }
   return total;
 }
 
-/* Every answer of a daemon that always errs in one way gets the outcome for
-   that way.  A load that a busy machine kept from sending anything is run
-   again.  */
+/* Every answer of a daemon with one constant fault gets the outcome of that
+   fault.  A load is run again when it counted no such answer, as happens when
+   a busy machine keeps it from sending any call.  */
 static void
-answers_are_judged (void **state)
+answers_are_classified (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -238,7 +241,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (answers_are_judged),
+    cmocka_unit_test (answers_are_classified),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
