--- a/standin/engine.c
+++ b/standin/engine.c
@@ -3,7 +3,7 @@
 #include <curl/curl.h>
 #include <string.h>
 
-/* Copies the strings of OPTIONS, so that ENGINE owns them.  */
+/* Copies OPTIONS with its strings to ENGINE.  */
 static void
 copy_options (struct fe_engine *engine, const struct fe_options *options)
 {
@@ -27,21 +27,22 @@
     }
 }
 
-/* Allocates the engine's state without threads or server.  */
+/* Allocates an engine without its threads and server.  */
 static struct fe_engine *
 create_state (const struct fe_options *options)
 {
   struct fe_engine *engine = g_new0 (struct fe_engine, 1);
   copy_options (engine, options);
   pthread_mutex_init (&engine->lock, NULL);
-  pthread_cond_init (&engine->work, NULL);
-  pthread_cond_init (&engine->control, NULL);
-  pthread_cond_init (&engine->crossed, NULL);
+  pthread_cond_init (&engine->work_ready, NULL);
+  pthread_cond_init (&engine->control_ready, NULL);
+  pthread_cond_init (&engine->answer_swapped, NULL);
   engine->requests
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fe_free_request);
-  engine->waiting = g_ptr_array_new ();
-  engine->ranges = g_array_new (FALSE, FALSE, sizeof (struct fe_range));
-  engine->loading = g_array_new (FALSE, FALSE, sizeof (struct fe_range));
+  engine->queue = g_ptr_array_new ();
+  engine->loaded_ranges = g_array_new (FALSE, FALSE, sizeof (struct fe_range));
+  engine->loading_ranges
+      = g_array_new (FALSE, FALSE, sizeof (struct fe_range));
   engine->slow_factor = 1;
   engine->report = g_string_new (NULL);
   engine->cache = pfx_create (options->cache_blocks,
@@ -53,7 +54,7 @@
         .first = options->first,
         .end = options->end,
       };
-      g_array_append_val (engine->ranges, range);
+      g_array_append_val (engine->loaded_ranges, range);
     }
   fe_render_report (engine, engine->report);
   return engine;
@@ -62,21 +63,22 @@
 static void
 free_state (struct fe_engine *engine)
 {
-  g_ptr_array_free (engine->waiting, TRUE);
+  g_ptr_array_free (engine->queue, TRUE);
   g_hash_table_destroy (engine->requests);
-  g_array_free (engine->ranges, TRUE);
-  g_array_free (engine->loading, TRUE);
+  g_array_free (engine->loaded_ranges, TRUE);
+  g_array_free (engine->loading_ranges, TRUE);
   g_string_free (engine->report, TRUE);
   pfx_destroy (engine->cache);
-  pthread_cond_destroy (&engine->crossed);
-  pthread_cond_destroy (&engine->control);
-  pthread_cond_destroy (&engine->work);
+  pthread_cond_destroy (&engine->answer_swapped);
+  pthread_cond_destroy (&engine->control_ready);
+  pthread_cond_destroy (&engine->work_ready);
   pthread_mutex_destroy (&engine->lock);
   free_options (&engine->options);
   g_free (engine);
 }
 
-/* Starts an engine as OPTIONS say.  Fails with ERR_SETTINGS.  */
+/* Starts an engine with OPTIONS.  Returns NULL and sets ERROR, to ERR_SETTINGS
+   when OPTIONS are invalid.  */
 struct fe_engine *
 fe_create (const struct fe_options *options, GError **error)
 {
@@ -94,7 +96,7 @@
   const struct hs_options server = {
     .port = options->port,
     .connections = options->connections,
-    .handler = fe_handle,
+    .handler = fe_handle_request,
     .user = engine,
   };
   engine->server = hs_create (&server, error);
@@ -109,21 +111,21 @@
   return engine;
 }
 
-/* Marks every waiting job as dropped, so that its callers return.  */
+/* Drops every queued job, so that the threads that wait for it return.  */
 static void
-stop_jobs (struct fe_engine *engine)
+drop_queued_jobs (struct fe_engine *engine)
 {
-  for (guint i = 0; i < engine->waiting->len; i++)
+  for (guint i = 0; i < engine->queue->len; i++)
     {
-      struct fe_job *job = g_ptr_array_index (engine->waiting, i);
+      struct fe_job *job = g_ptr_array_index (engine->queue, i);
       job->state = FE_JOB_DROPPED;
       pthread_cond_broadcast (&job->finished);
       fe_unref_job (job);
     }
-  g_ptr_array_set_size (engine->waiting, 0);
+  g_ptr_array_set_size (engine->queue, 0);
 }
 
-/* Stops ENGINE and frees it; NULL is allowed.  */
+/* Stops and frees ENGINE; NULL is allowed.  */
 void
 fe_destroy (struct fe_engine *engine)
 {
@@ -133,9 +135,9 @@
     }
   pthread_mutex_lock (&engine->lock);
   engine->stopping = true;
-  stop_jobs (engine);
-  pthread_cond_broadcast (&engine->work);
-  pthread_cond_broadcast (&engine->control);
+  drop_queued_jobs (engine);
+  pthread_cond_broadcast (&engine->work_ready);
+  pthread_cond_broadcast (&engine->control_ready);
   pthread_mutex_unlock (&engine->lock);
   pthread_join (engine->batch_thread, NULL);
   pthread_join (engine->control_thread, NULL);
@@ -143,7 +145,7 @@
   free_state (engine);
 }
 
-/* Returns the port that ENGINE listens on.  */
+/* Returns the TCP port that ENGINE listens on.  */
 uint16_t
 fe_port (const struct fe_engine *engine)
 {
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -1,5 +1,6 @@
-/* A stand-in for a model engine: continuous batches at a stated rate, streams,
-   prefix cache, orders with fencing numbers, faults on demand. */
+/* A stand-in for a model engine.  Runs the steps of streams in continuous
+   batches at a configured rate, has a prefix cache, carries out orders with
+   fencing numbers and injects faults on request. */
 #ifndef STANDIN_ENGINE_H
 #define STANDIN_ENGINE_H
 
@@ -12,6 +13,7 @@
 
 struct fe_engine;
 
+/* A model that the engine knows. */
 struct fe_model
 {
   const char *name;
@@ -20,25 +22,26 @@
 
 struct fe_options
 {
-  uint16_t port; /* 0: chosen by the kernel */
-  uint32_t connections;
-  const char *name;
+  uint16_t port;        /* 0: chosen by the kernel */
+  uint32_t connections; /* open at one time */
+  const char *name;     /* of the host */
   struct fe_model models[FE_MODELS_MAX];
   uint32_t model_count;
-  uint32_t first; /* range of the first model loaded at the start */
-  uint32_t end;   /* equal to FIRST: none */
-  uint32_t layer_tokens_per_s;
-  uint32_t step_overhead_us;
-  uint32_t batch;             /* steps in one batch */
-  uint32_t prefill_positions; /* of a first step, cost as much as one */
-  bool fencing_checked;
-  const char *platform_url; /* of the weight store; NULL: loads need none */
-  uint32_t kv_mib;
-  uint32_t report_lag_ms;
-  uint32_t layer_load_ms; /* to load one layer */
-  uint32_t cache_blocks;
-  uint32_t event_lag_ms;
-  uint32_t event_drop_one_in; /* 0: no gaps */
+  uint32_t first; /* layers of the first model loaded at the start */
+  uint32_t end;   /* one past the last layer; equal to FIRST: none */
+  uint32_t layer_tokens_per_s; /* layers times positions */
+  uint32_t step_overhead_us;   /* of each batch */
+  uint32_t batch;              /* most steps in one batch */
+  uint32_t prefill_positions;  /* positions of a first step that cost as
+                                  much as one */
+  bool fencing_checked;        /* rejects orders with an old fencing number */
+  const char *platform_url; /* of the weight store; NULL: loads without one */
+  uint32_t kv_mib;          /* memory for KV state */
+  uint32_t report_lag_ms;   /* interval of the load report */
+  uint32_t layer_load_ms;   /* to load one layer */
+  uint32_t cache_blocks;    /* of the prefix cache */
+  uint32_t event_lag_ms;    /* of the cache events */
+  uint32_t event_drop_one_in; /* cache events lost; 0: none */
   struct jn_journal *journal; /* NULL: none */
 };
 
--- a/standin/engine_batch.c
+++ b/standin/engine_batch.c
@@ -6,12 +6,13 @@
 #include <inttypes.h>
 #include <time.h>
 
-#define CATCH_UP_US                                                           \
-  (20 * CLK_MS_US) /* lateness that a batch may make good                     \
-                    */
-#define AVERAGE_WEIGHT 8
+/* Largest lateness of a batch that the next one makes up for. */
+#define CATCH_UP_MAX_US (20 * CLK_MS_US)
 
-/* Orders waiting jobs by priority, then by arrival.  */
+/* Each batch moves the average by the difference divided by this. */
+#define AVERAGE_DIVISOR 8
+
+/* Orders queued jobs by priority, lowest number first, then by arrival.  */
 static gint
 compare_jobs (gconstpointer a, gconstpointer b)
 {
@@ -24,22 +25,23 @@
   return left->arrival < right->arrival ? -1 : 1;
 }
 
-/* Removes jobs whose stream is gone from the queue.  */
+/* Removes the dropped jobs, whose stream has been freed, from the queue.  */
 static void
-sweep_waiting (struct fe_engine *engine)
+remove_dropped_jobs (struct fe_engine *engine)
 {
-  for (guint i = engine->waiting->len; i > 0; i--)
+  for (guint i = engine->queue->len; i > 0; i--)
     {
-      struct fe_job *job = g_ptr_array_index (engine->waiting, i - 1);
+      struct fe_job *job = g_ptr_array_index (engine->queue, i - 1);
       if (job->state == FE_JOB_DROPPED)
         {
-          g_ptr_array_remove_index (engine->waiting, i - 1);
+          g_ptr_array_remove_index (engine->queue, i - 1);
           fe_unref_job (job);
         }
     }
 }
 
-/* Returns the positions that a step is charged for: those of a prefill run in
+/* Returns the number of positions that the time of JOB is computed from.
+   Cached positions cost nothing, and groups of prefill_positions run in
    parallel.  */
 static uint32_t
 charged_positions (const struct fe_engine *engine, const struct fe_job *job)
@@ -50,17 +52,17 @@
 }
 
 /* Moves the jobs of the next batch from the queue to BATCH.  Returns the time
-   that the batch takes.  */
+   that the batch takes, in microseconds.  */
 static int64_t
-take_batch (struct fe_engine *engine, GPtrArray *batch)
+form_batch (struct fe_engine *engine, GPtrArray *batch)
 {
-  sweep_waiting (engine);
-  g_ptr_array_sort (engine->waiting, compare_jobs);
-  guint count = MIN (engine->waiting->len, engine->options.batch);
+  remove_dropped_jobs (engine);
+  g_ptr_array_sort (engine->queue, compare_jobs);
+  guint count = MIN (engine->queue->len, engine->options.batch);
   uint64_t layer_positions = 0;
   for (guint i = 0; i < count; i++)
     {
-      struct fe_job *job = g_ptr_array_index (engine->waiting, i);
+      struct fe_job *job = g_ptr_array_index (engine->queue, i);
       const struct fe_range *range = &job->stream->range;
       job->state = FE_JOB_RUNNING;
       layer_positions += (uint64_t)charged_positions (engine, job)
@@ -69,16 +71,16 @@
     }
   if (count > 0)
     {
-      g_ptr_array_remove_range (engine->waiting, 0, count);
+      g_ptr_array_remove_range (engine->queue, 0, count);
     }
-  engine->running = count;
+  engine->running_jobs = count;
   double work_us = (double)layer_positions * CLK_S_US
                    / engine->options.layer_tokens_per_s;
   return (int64_t)((engine->options.step_overhead_us + work_us)
                    * engine->slow_factor);
 }
 
-/* Appends what the last range answers after HIDDEN.  */
+/* Appends the answer of the last range: the token decoded from HIDDEN.  */
 static void
 render_token (uint64_t hidden, GString *out)
 {
@@ -89,7 +91,7 @@
       output.text, output.end ? "true" : "false");
 }
 
-/* Appends what another range answers: the activation of each position.  */
+/* Appends the answer of any other range: the activation of each position.  */
 static void
 render_activation (const uint64_t *hidden, uint32_t positions, GString *out)
 {
@@ -107,7 +109,8 @@
   g_string_append (out, "\",\"load\":");
 }
 
-/* Runs JOB through its layers, keeps the output and wakes its callers.  */
+/* Runs JOB through its layers, stores the output and wakes the threads that
+   wait for it.  */
 static void
 run_job (struct fe_engine *engine, struct fe_job *job)
 {
@@ -149,7 +152,8 @@
   pthread_cond_broadcast (&job->finished);
 }
 
-/* Runs the jobs of BATCH that still have a stream, and empties it.  */
+/* Runs the jobs of BATCH that still have a stream, and empties BATCH.  Drops
+   the jobs instead when the engine stops.  */
 static void
 finish_batch (struct fe_engine *engine, GPtrArray *batch)
 {
@@ -168,7 +172,7 @@
       fe_unref_job (job);
     }
   g_ptr_array_set_size (batch, 0);
-  engine->running = 0;
+  engine->running_jobs = 0;
 }
 
 /* Sleeps until the monotonic time UNTIL_US.  */
@@ -184,9 +188,10 @@
     }
 }
 
-/* The batch thread: takes waiting steps, lets their time pass, runs them.  A
-   batch that follows another at once starts at its planned end, so that the
-   engine keeps to its rate although sleeps end late.  */
+/* The batch thread: forms a batch of queued jobs, sleeps for its duration and
+   runs the jobs.  A batch that follows another at once counts from the planned
+   end of that one, up to CATCH_UP_MAX_US ago, so that the engine keeps its
+   rate although sleeps end late.  */
 void *
 fe_batch_loop (void *data)
 {
@@ -196,24 +201,25 @@
   pthread_mutex_lock (&engine->lock);
   while (!engine->stopping)
     {
-      if (engine->waiting->len == 0)
+      if (engine->queue->len == 0)
         {
           end_us = 0;
-          pthread_cond_wait (&engine->work, &engine->lock);
+          pthread_cond_wait (&engine->work_ready, &engine->lock);
           continue;
         }
       int64_t now_us = clk_monotonic_us ();
-      int64_t start_us = end_us + CATCH_UP_US > now_us ? end_us : now_us;
-      int64_t took_us = take_batch (engine, batch);
+      int64_t start_us = end_us + CATCH_UP_MAX_US > now_us ? end_us : now_us;
+      int64_t duration_us = form_batch (engine, batch);
       if (batch->len == 0)
         {
           continue;
         }
-      end_us = start_us + took_us;
+      end_us = start_us + duration_us;
       pthread_mutex_unlock (&engine->lock);
       sleep_until (end_us);
       pthread_mutex_lock (&engine->lock);
-      engine->step_us += (took_us - engine->step_us) / AVERAGE_WEIGHT;
+      engine->average_batch_us
+          += (duration_us - engine->average_batch_us) / AVERAGE_DIVISOR;
       finish_batch (engine, batch);
     }
   pthread_mutex_unlock (&engine->lock);
--- a/standin/engine_fault.c
+++ b/standin/engine_fault.c
@@ -6,12 +6,14 @@
 #include <time.h>
 #include <unistd.h>
 
-#define DIED_STATUS 1
-#define CROSS_WAIT_MS 100
+#define DIE_EXIT_STATUS 1
 
-/* Replaces *VALUE by member NAME of BODY when that is a number.  */
+/* Longest time that an answer waits for another to be swapped with. */
+#define SWAP_WAIT_MS 100
+
+/* Sets *VALUE to member NAME of BODY when that is an integer.  */
 static void
-set_number (const json_t *body, const char *name, uint32_t *value)
+read_number (const json_t *body, const char *name, uint32_t *value)
 {
   const json_t *member = json_object_get (body, name);
   if (json_is_integer (member))
@@ -20,9 +22,10 @@
     }
 }
 
-/* Answers POST /fault: sets the faults that BODY names.  */
+/* Answers POST /fault: journals and sets the faults in BODY, and returns how
+   many answers are left to delay and swap.  Ends the process for `die'.  */
 void
-fe_answer_fault (struct fe_engine *engine, const json_t *body,
+fe_handle_fault (struct fe_engine *engine, const json_t *body,
                  struct hs_answer *answer)
 {
   const json_t *slow = json_object_get (body, "slow");
@@ -34,7 +37,7 @@
   free (text);
   if (json_is_true (json_object_get (body, "die")))
     {
-      _exit (DIED_STATUS);
+      _exit (DIE_EXIT_STATUS);
     }
   pthread_mutex_lock (&engine->lock);
   if (json_is_number (slow) && json_number_value (slow) > 0)
@@ -42,13 +45,14 @@
       engine->slow_factor = json_number_value (slow);
     }
   engine->leaving = leaving == NULL ? engine->leaving : json_is_true (leaving);
-  engine->refusing = refuse == NULL ? engine->refusing : json_is_true (refuse);
-  set_number (body, "late_answers", &engine->late_answers);
-  set_number (body, "late_ms", &engine->late_ms);
-  set_number (body, "cross_answers", &engine->cross_answers);
+  engine->refusing_steps
+      = refuse == NULL ? engine->refusing_steps : json_is_true (refuse);
+  read_number (body, "late_answers", &engine->answers_to_delay);
+  read_number (body, "late_ms", &engine->answer_delay_ms);
+  read_number (body, "cross_answers", &engine->pairs_to_swap);
   g_string_append_printf (answer->body,
                           "{\"late_answers\":%u,\"cross_answers\":%u}",
-                          engine->late_answers, engine->cross_answers);
+                          engine->answers_to_delay, engine->pairs_to_swap);
   pthread_mutex_unlock (&engine->lock);
   if (json_is_true (json_object_get (body, "silent_connections")))
     {
@@ -57,62 +61,62 @@
   answer->control = true;
 }
 
-/* Waits until another answer took the place of BODY, for at most
-   CROSS_WAIT_MS.  The lock is held.  */
+/* Waits at most SWAP_WAIT_MS until BODY has been swapped with another answer.
+   The lock is held.  */
 static void
-wait_crossed (struct fe_engine *engine, const GString *body)
+wait_for_swap (struct fe_engine *engine, const GString *body)
 {
   struct timespec until;
   clock_gettime (CLOCK_REALTIME, &until);
-  int64_t nanoseconds = until.tv_nsec + INT64_C (1000000) * CROSS_WAIT_MS;
+  int64_t nanoseconds = until.tv_nsec + INT64_C (1000000) * SWAP_WAIT_MS;
   until.tv_sec += nanoseconds / 1000000000;
   until.tv_nsec = nanoseconds % 1000000000;
   int result = 0;
-  while (engine->crossing == body && result == 0)
+  while (engine->unswapped_answer == body && result == 0)
     {
-      result
-          = pthread_cond_timedwait (&engine->crossed, &engine->lock, &until);
+      result = pthread_cond_timedwait (&engine->answer_swapped, &engine->lock,
+                                       &until);
     }
-  if (engine->crossing == body)
+  if (engine->unswapped_answer == body)
     {
-      engine->crossing = NULL;
+      engine->unswapped_answer = NULL;
     }
 }
 
-/* Swaps BODY with the answer that waits for it, or lets it wait.  The lock is
-   held.  */
+/* Swaps BODY with the answer that waits for one, or lets BODY wait when there
+   is none.  The lock is held.  */
 static void
-cross_answer (struct fe_engine *engine, GString *body)
+swap_answer (struct fe_engine *engine, GString *body)
 {
-  if (engine->crossing == NULL)
+  if (engine->unswapped_answer == NULL)
     {
-      engine->crossing = body;
-      wait_crossed (engine, body);
+      engine->unswapped_answer = body;
+      wait_for_swap (engine, body);
       return;
     }
-  GString other = *engine->crossing;
-  *engine->crossing = *body;
+  GString other = *engine->unswapped_answer;
+  *engine->unswapped_answer = *body;
   *body = other;
-  engine->crossing = NULL;
-  engine->cross_answers--;
-  pthread_cond_broadcast (&engine->crossed);
+  engine->unswapped_answer = NULL;
+  engine->pairs_to_swap--;
+  pthread_cond_broadcast (&engine->answer_swapped);
 }
 
-/* Delays the answer BODY of a step, or swaps it with that of another caller,
-   when such a fault is set.  */
+/* Applies the answer faults that are set to BODY, the answer of a step: delays
+   it, or swaps it with the answer to another request.  */
 void
-fe_disturb_answer (struct fe_engine *engine, GString *body)
+fe_apply_answer_faults (struct fe_engine *engine, GString *body)
 {
   pthread_mutex_lock (&engine->lock);
   uint32_t delay_ms = 0;
-  if (engine->late_answers > 0)
+  if (engine->answers_to_delay > 0)
     {
-      engine->late_answers--;
-      delay_ms = engine->late_ms;
+      engine->answers_to_delay--;
+      delay_ms = engine->answer_delay_ms;
     }
-  if (engine->cross_answers > 0)
+  if (engine->pairs_to_swap > 0)
     {
-      cross_answer (engine, body);
+      swap_answer (engine, body);
     }
   pthread_mutex_unlock (&engine->lock);
   if (delay_ms > 0)
--- a/standin/engine_http.c
+++ b/standin/engine_http.c
@@ -6,35 +6,37 @@
 #include <jansson.h>
 #include <string.h>
 
-#define REQUEST_ID_BYTES 64
+#define REQUEST_ID_BYTES_MAX 64
 
-/* Returns member NAME of OBJECT as a number within 0 and UINT32_MAX, or
-   MISSING.  */
+/* Returns the integer member NAME of OBJECT, or DEFAULT_VALUE when there is
+   none from 0 to UINT32_MAX.  */
 static uint32_t
-number_of (const json_t *object, const char *name, uint32_t missing)
+number_member (const json_t *object, const char *name, uint32_t default_value)
 {
   const json_t *value = json_object_get (object, name);
   if (!json_is_integer (value) || json_integer_value (value) < 0
       || json_integer_value (value) > UINT32_MAX)
     {
-      return missing;
+      return default_value;
     }
   return (uint32_t)json_integer_value (value);
 }
 
+/* Returns the string member NAME of OBJECT, or NULL.  */
 static const char *
-text_of (const json_t *object, const char *name)
+text_member (const json_t *object, const char *name)
 {
   return json_string_value (json_object_get (object, name));
 }
 
-/* Returns the request id of BODY, or NULL when it is missing or has other
-   characters than letters, digits and "-_.:".  */
+/* Returns the request id of BODY, or NULL when it is missing, empty, longer
+   than REQUEST_ID_BYTES_MAX or has characters other than letters, digits and
+   "-_.:".  */
 static const char *
 request_id (const json_t *body)
 {
-  const char *id = text_of (body, "request");
-  if (id == NULL || id[0] == '\0' || strlen (id) > REQUEST_ID_BYTES)
+  const char *id = text_member (body, "request");
+  if (id == NULL || id[0] == '\0' || strlen (id) > REQUEST_ID_BYTES_MAX)
     {
       return NULL;
     }
@@ -48,16 +50,17 @@
   return id;
 }
 
-/* Reads model and range of BODY.  Returns ERR_BAD_REQUEST, or
-   ERR_ENDPOINT_REFUSED for a model that the engine does not know.  */
+/* Reads the layer range of BODY, and its model, which may be missing unless
+   WITH_MODEL.  Returns ERR_BAD_REQUEST when they are malformed or the range
+   exceeds the model, or ERR_ENDPOINT_REFUSED for an unknown model.  */
 static enum err_kind
 read_range (const struct fe_engine *engine, const json_t *body,
             bool with_model, struct fe_range *range)
 {
-  const char *model = text_of (body, "model");
+  const char *model = text_member (body, "model");
   range->model = 0;
-  range->first = number_of (body, "first", UINT32_MAX);
-  range->end = number_of (body, "end", 0);
+  range->first = number_member (body, "first", UINT32_MAX);
+  range->end = number_member (body, "end", 0);
   if (range->end <= range->first || (with_model && model == NULL))
     {
       return ERR_BAD_REQUEST;
@@ -78,16 +81,16 @@
   return ERR_ENDPOINT_REFUSED;
 }
 
-/* Answers with the status and body of KIND.  */
+/* Answers with the HTTP status and error body of KIND.  */
 static void
-answer_kind (struct hs_answer *answer, enum err_kind kind)
+answer_error (struct hs_answer *answer, enum err_kind kind)
 {
   const struct err_answer *entry = err_answer (kind);
   hs_fail (answer, entry->http_status, entry->name, entry->summary);
 }
 
-/* Reads the tokens of the first range.  Returns false when they are
-   malformed.  */
+/* Reads the input of a step on the first range: prompt and tokens for step 0,
+   else one token.  Returns false when the input is malformed.  */
 static bool
 read_tokens (const json_t *body, struct fe_step *step)
 {
@@ -95,7 +98,7 @@
     {
       step->token_count = 1;
       step->tokens = g_new (uint32_t, 1);
-      step->tokens[0] = number_of (body, "token", UINT32_MAX);
+      step->tokens[0] = number_member (body, "token", UINT32_MAX);
       return step->tokens[0] != UINT32_MAX;
     }
   json_t *prompt = json_object_get (body, "prompt");
@@ -116,7 +119,8 @@
   return step->prompt != NULL;
 }
 
-/* Reads the activation of a later range.  Returns false when it is
+/* Reads the input of a step on a later range: the activation of each position,
+   and of one position only after step 0.  Returns false when the input is
    malformed.  */
 static bool
 read_activation (const json_t *body, struct fe_step *step)
@@ -158,20 +162,20 @@
 {
   struct fe_step step = {
     .request = request_id (body),
-    .attempt = number_of (body, "attempt", UINT32_MAX),
-    .step = number_of (body, "step", UINT32_MAX),
-    .priority = number_of (body, "priority", 1),
+    .attempt = number_member (body, "attempt", UINT32_MAX),
+    .step = number_member (body, "step", UINT32_MAX),
+    .priority = number_member (body, "priority", 1),
   };
   enum err_kind kind = read_range (engine, body, true, &step.range);
-  bool good = step.request != NULL && step.attempt != UINT32_MAX
-              && step.step != UINT32_MAX;
-  if (good && kind == ERR_NONE)
+  bool valid = step.request != NULL && step.attempt != UINT32_MAX
+               && step.step != UINT32_MAX;
+  if (valid && kind == ERR_NONE)
     {
-      good = step.range.first == 0 ? read_tokens (body, &step)
-                                   : read_activation (body, &step);
+      valid = step.range.first == 0 ? read_tokens (body, &step)
+                                    : read_activation (body, &step);
     }
   uint32_t expected = 0;
-  if (!good)
+  if (!valid)
     {
       kind = ERR_BAD_REQUEST;
     }
@@ -184,10 +188,10 @@
   if (kind == ERR_NONE)
     {
       g_string_append_c (answer->body, '}');
-      fe_disturb_answer (engine, answer->body);
+      fe_apply_answer_faults (engine, answer->body);
       return;
     }
-  answer_kind (answer, kind);
+  answer_error (answer, kind);
   if (kind == ERR_OUT_OF_ORDER)
     {
       g_string_truncate (answer->body, answer->body->len - 1);
@@ -201,10 +205,10 @@
                struct hs_answer *answer)
 {
   const char *request = request_id (body);
-  uint32_t attempt = number_of (body, "attempt", UINT32_MAX);
+  uint32_t attempt = number_member (body, "attempt", UINT32_MAX);
   if (request == NULL || attempt == UINT32_MAX)
     {
-      answer_kind (answer, ERR_BAD_REQUEST);
+      answer_error (answer, ERR_BAD_REQUEST);
       return;
     }
   fe_cancel (engine, request, attempt);
@@ -217,9 +221,9 @@
            struct hs_answer *answer)
 {
   const char *request = request_id (body);
-  uint32_t attempt = number_of (body, "attempt", UINT32_MAX);
-  uint32_t step = number_of (body, "step", UINT32_MAX);
-  const char *kv = text_of (body, "kv");
+  uint32_t attempt = number_member (body, "attempt", UINT32_MAX);
+  uint32_t step = number_member (body, "step", UINT32_MAX);
+  const char *kv = text_member (body, "kv");
   struct fe_range range;
   enum err_kind kind = read_range (engine, body, import, &range);
   if (request == NULL || attempt == UINT32_MAX
@@ -238,7 +242,7 @@
     }
   if (kind != ERR_NONE)
     {
-      answer_kind (answer, kind);
+      answer_error (answer, kind);
     }
 }
 
@@ -248,7 +252,7 @@
               struct hs_answer *answer)
 {
   static const char *const names[] = { "load", "unload", "role" };
-  const char *name = text_of (body, "order");
+  const char *name = text_member (body, "order");
   const json_t *fence = json_object_get (body, "fence");
   struct fe_range range;
   enum err_kind kind = read_range (engine, body, true, &range);
@@ -263,25 +267,25 @@
     }
   if (kind == ERR_NONE)
     {
-      kind = fe_take_order (engine, (enum fe_order_type)type, &range,
-                            json_integer_value (fence));
+      kind = fe_accept_order (engine, (enum fe_order_type)type, &range,
+                              json_integer_value (fence));
       g_string_append (answer->body, "{}");
     }
   if (kind != ERR_NONE)
     {
-      answer_kind (answer, kind);
+      answer_error (answer, kind);
     }
   if (kind == ERR_STALE_FENCE)
     {
       pthread_mutex_lock (&engine->lock);
       g_string_truncate (answer->body, answer->body->len - 1);
       g_string_append_printf (answer->body, ",\"fence\":%" G_GINT64_FORMAT "}",
-                              engine->fence);
+                              engine->newest_fence);
       pthread_mutex_unlock (&engine->lock);
     }
 }
 
-/* Answers a call with METHOD POST.  */
+/* Answers a POST request.  */
 static void
 handle_post (struct fe_engine *engine, const char *path, const json_t *body,
              struct hs_answer *answer)
@@ -308,15 +312,15 @@
     }
   else if (strcmp (path, "/fault") == 0)
     {
-      fe_answer_fault (engine, body, answer);
+      fe_handle_fault (engine, body, answer);
     }
   else
     {
-      answer_kind (answer, ERR_NOT_FOUND);
+      answer_error (answer, ERR_NOT_FOUND);
     }
 }
 
-/* Answers a call with METHOD GET.  */
+/* Answers a GET request.  */
 static void
 handle_get (struct fe_engine *engine, const struct hs_request *request,
             struct hs_answer *answer)
@@ -333,15 +337,15 @@
     }
   else
     {
-      answer_kind (answer, ERR_NOT_FOUND);
+      answer_error (answer, ERR_NOT_FOUND);
     }
   pthread_mutex_unlock (&engine->lock);
 }
 
-/* Handles every call of the engine interface.  */
+/* Answers every request to the HTTP interface of the engine USER.  */
 void
-fe_handle (void *user, const struct hs_request *request,
-           struct hs_answer *answer)
+fe_handle_request (void *user, const struct hs_request *request,
+                   struct hs_answer *answer)
 {
   struct fe_engine *engine = user;
   if (strcmp (request->method, "GET") == 0)
@@ -352,7 +356,7 @@
   json_t *body = json_loadb (request->body, request->body_bytes, 0, NULL);
   if (strcmp (request->method, "POST") != 0 || !json_is_object (body))
     {
-      answer_kind (answer, ERR_BAD_REQUEST);
+      answer_error (answer, ERR_BAD_REQUEST);
     }
   else
     {
--- a/standin/engine_main.c
+++ b/standin/engine_main.c
@@ -7,6 +7,7 @@
 
 #define CONNECTIONS_DEFAULT 128
 
+/* The command line arguments. */
 struct arguments
 {
   struct arg_int *port;
@@ -30,9 +31,10 @@
   struct arg_int *event_drop;
 };
 
-/* Defines the command line in TABLE.  */
+/* Defines the arguments A with their default values and lists them in TABLE
+   for argtable.  */
 static void
-define (struct arguments *a, void **table)
+define_arguments (struct arguments *a, void **table)
 {
   a->port = arg_int0 (NULL, "port", "N", "0: chosen by the kernel");
   a->connections = arg_int0 (NULL, "connections", "N", "open at one time");
@@ -76,10 +78,10 @@
   a->event_drop->ival[0] = 16;
 }
 
-/* Turns the parsed ARGUMENTS into OPTIONS.  Returns false when the range is
-   malformed or a model lacks its layers.  */
+/* Converts the parsed arguments A to OPTIONS.  Returns false when the range is
+   malformed or the numbers of models and of layer counts differ.  */
 static gboolean
-fill (const struct arguments *a, struct fe_options *options)
+read_options (const struct arguments *a, struct fe_options *options)
 {
   *options = (struct fe_options){
     .port = (uint16_t)a->port->ival[0],
@@ -113,14 +115,14 @@
       return TRUE;
     }
   gchar **parts = g_strsplit (a->range->sval[0], "-", 2);
-  gboolean good = g_strv_length (parts) == 2;
-  if (good)
+  gboolean valid = g_strv_length (parts) == 2;
+  if (valid)
     {
       options->first = (uint32_t)g_ascii_strtoull (parts[0], NULL, 10);
       options->end = (uint32_t)g_ascii_strtoull (parts[1], NULL, 10);
     }
   g_strfreev (parts);
-  return good;
+  return valid;
 }
 
 int
@@ -128,14 +130,14 @@
 {
   struct arguments arguments;
   void *table[sizeof arguments / sizeof (void *) + 1];
-  define (&arguments, table);
+  define_arguments (&arguments, table);
   int status = prg_parse (argc, argv, table);
   if (status != 0)
     {
       return status;
     }
   struct fe_options options;
-  if (!fill (&arguments, &options))
+  if (!read_options (&arguments, &options))
     {
       fputs ("give each --model its --layers, and --range as FIRST-END\n",
              stderr);
--- a/standin/engine_order.c
+++ b/standin/engine_order.c
@@ -9,10 +9,10 @@
 #include <time.h>
 
 #define HTTP_OK 200
-#define HTTP_TOO_MANY 429
+#define HTTP_TOO_MANY_REQUESTS 429
 #define WEIGHT_RETRY_MS 1000
 #define WEIGHT_TIMEOUT_MS 5000
-#define REPORT_MIN_MS 10
+#define REPORT_INTERVAL_MIN_MS 10
 
 static bool
 same_range (const struct fe_range *a, const struct fe_range *b)
@@ -34,16 +34,16 @@
   return -1;
 }
 
-/* Returns true when a loaded range covers RANGE.  */
+/* Returns whether a loaded range of the same model covers RANGE.  */
 bool
-fe_holds (const struct fe_engine *engine, const struct fe_range *range)
+fe_has_range (const struct fe_engine *engine, const struct fe_range *range)
 {
-  for (guint i = 0; i < engine->ranges->len; i++)
+  for (guint i = 0; i < engine->loaded_ranges->len; i++)
     {
-      const struct fe_range *held
-          = &g_array_index (engine->ranges, struct fe_range, i);
-      if (held->model == range->model && held->first <= range->first
-          && range->end <= held->end)
+      const struct fe_range *loaded
+          = &g_array_index (engine->loaded_ranges, struct fe_range, i);
+      if (loaded->model == range->model && loaded->first <= range->first
+          && range->end <= loaded->end)
         {
           return true;
         }
@@ -73,45 +73,48 @@
     }
 }
 
+/* Queues RANGE to be loaded unless it is loaded or queued already.  */
 static void
-start_load (struct fe_engine *engine, const struct fe_range *range)
+queue_load (struct fe_engine *engine, const struct fe_range *range)
 {
-  if (find_range (engine->ranges, range) < 0
-      && find_range (engine->loading, range) < 0)
+  if (find_range (engine->loaded_ranges, range) < 0
+      && find_range (engine->loading_ranges, range) < 0)
     {
-      g_array_append_val (engine->loading, *range);
-      pthread_cond_broadcast (&engine->control);
+      g_array_append_val (engine->loading_ranges, *range);
+      pthread_cond_broadcast (&engine->control_ready);
     }
 }
 
-/* Takes an order.  Returns ERR_STALE_FENCE when the engine checks fencing
-   numbers and FENCE is lower than the newest seen.  */
+/* Carries out and journals an order; the control thread does the loading.
+   Returns ERR_STALE_FENCE when the engine checks fencing numbers and FENCE is
+   lower than the highest one seen.  */
 enum err_kind
-fe_take_order (struct fe_engine *engine, enum fe_order_type type,
-               const struct fe_range *range, int64_t fence)
+fe_accept_order (struct fe_engine *engine, enum fe_order_type type,
+                 const struct fe_range *range, int64_t fence)
 {
   static const char *const names[] = { "load", "unload", "role" };
   pthread_mutex_lock (&engine->lock);
-  if (engine->options.fencing_checked && fence < engine->fence)
+  if (engine->options.fencing_checked && fence < engine->newest_fence)
     {
       pthread_mutex_unlock (&engine->lock);
       return ERR_STALE_FENCE;
     }
-  engine->fence
-      = engine->options.fencing_checked ? fence : MAX (fence, engine->fence);
+  engine->newest_fence = engine->options.fencing_checked
+                             ? fence
+                             : MAX (fence, engine->newest_fence);
   if (type == FE_ORDER_ROLE)
     {
-      keep_only (engine->ranges, range);
-      keep_only (engine->loading, range);
+      keep_only (engine->loaded_ranges, range);
+      keep_only (engine->loading_ranges, range);
     }
   if (type == FE_ORDER_UNLOAD)
     {
-      remove_range (engine->ranges, range);
-      remove_range (engine->loading, range);
+      remove_range (engine->loaded_ranges, range);
+      remove_range (engine->loading_ranges, range);
     }
   else
     {
-      start_load (engine, range);
+      queue_load (engine, range);
     }
   jn_write (engine->options.journal, "order",
             ",\"host\":\"%s\",\"order\":\"%s\",\"model\":\"%s\",\"first\":%u,"
@@ -123,17 +126,17 @@
   return ERR_NONE;
 }
 
-/* Drops the body of an answer.  */
 static size_t
-drop_body (char *data, size_t size, size_t count, void *user)
+discard_body (char *data, size_t size, size_t count, void *user)
 {
   (void)data;
   (void)user;
   return size * count;
 }
 
-/* Asks the weight store for RANGE.  Returns 0 when it was given, or the time
-   in milliseconds after which to ask again.  */
+/* Requests the weights of RANGE from the weight store.  Returns 0 on success
+   or without a weight store, else the time in milliseconds after which to
+   retry.  */
 static int64_t
 fetch_weights (const struct fe_engine *engine, const struct fe_range *range)
 {
@@ -148,7 +151,7 @@
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, (long)WEIGHT_TIMEOUT_MS);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, drop_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, discard_body);
   long status = 0;
   curl_off_t retry_after_s = 0;
   if (curl_easy_perform (curl) == CURLE_OK)
@@ -162,70 +165,74 @@
     {
       return 0;
     }
-  return status == HTTP_TOO_MANY && retry_after_s > 0 ? retry_after_s * 1000
-                                                      : WEIGHT_RETRY_MS;
+  return status == HTTP_TOO_MANY_REQUESTS && retry_after_s > 0
+             ? retry_after_s * 1000
+             : WEIGHT_RETRY_MS;
 }
 
-/* Waits at most WAIT_MS for an order or the stop.  The lock is held.  */
+/* Waits at most WAIT_MS for a queued load or the stop of the engine.  The lock
+   is held.  */
 static void
-wait_slice (struct fe_engine *engine, int64_t wait_ms)
+wait_for_control (struct fe_engine *engine, int64_t wait_ms)
 {
   struct timespec until;
   clock_gettime (CLOCK_REALTIME, &until);
   int64_t nanoseconds = until.tv_nsec + wait_ms * 1000000;
   until.tv_sec += nanoseconds / 1000000000;
   until.tv_nsec = nanoseconds % 1000000000;
-  pthread_cond_timedwait (&engine->control, &engine->lock, &until);
+  pthread_cond_timedwait (&engine->control_ready, &engine->lock, &until);
 }
 
-/* Renews the load report.  The lock is held.  */
+/* Renders the load report anew.  The lock is held.  */
 static void
-renew_report (struct fe_engine *engine)
+refresh_report (struct fe_engine *engine)
 {
   g_string_truncate (engine->report, 0);
   fe_render_report (engine, engine->report);
 }
 
-/* Waits DELAY_MS or until the engine stops, and renews the load report at its
-   interval.  The lock is held.  */
+/* Waits DELAY_MS or until the engine stops, and refreshes the load report at
+   its interval.  The lock is held.  */
 static void
-wait_control (struct fe_engine *engine, int64_t delay_ms)
+wait_and_refresh (struct fe_engine *engine, int64_t delay_ms)
 {
-  int64_t interval_ms = MAX (engine->options.report_lag_ms, REPORT_MIN_MS);
+  int64_t interval_ms
+      = MAX (engine->options.report_lag_ms, REPORT_INTERVAL_MIN_MS);
   int64_t end_us = clk_monotonic_us () + delay_ms * CLK_MS_US;
   while (!engine->stopping)
     {
-      renew_report (engine);
+      refresh_report (engine);
       int64_t left_us = end_us - clk_monotonic_us ();
       if (left_us <= 0)
         {
           return;
         }
-      wait_slice (engine, MIN (left_us / CLK_MS_US + 1, interval_ms));
+      wait_for_control (engine, MIN (left_us / CLK_MS_US + 1, interval_ms));
     }
 }
 
-/* Loads the first range of the queue.  The lock is held, but not while the
-   weights are fetched.  */
+/* Loads the first queued range, or waits for the retry when its weights can't
+   be fetched.  A range that an order removes meanwhile is not loaded.  The
+   lock is held, except while the weights are fetched.  */
 static void
-load_next (struct fe_engine *engine)
+load_first_queued (struct fe_engine *engine)
 {
   const struct fe_range range
-      = g_array_index (engine->loading, struct fe_range, 0);
+      = g_array_index (engine->loading_ranges, struct fe_range, 0);
   pthread_mutex_unlock (&engine->lock);
   int64_t retry_ms = fetch_weights (engine, &range);
   pthread_mutex_lock (&engine->lock);
   if (retry_ms > 0)
     {
-      wait_control (engine, retry_ms);
+      wait_and_refresh (engine, retry_ms);
       return;
     }
-  wait_control (engine, (int64_t)engine->options.layer_load_ms
-                            * (range.end - range.first));
-  if (!engine->stopping && find_range (engine->loading, &range) >= 0)
+  wait_and_refresh (engine, (int64_t)engine->options.layer_load_ms
+                                * (range.end - range.first));
+  if (!engine->stopping && find_range (engine->loading_ranges, &range) >= 0)
     {
-      remove_range (engine->loading, &range);
-      g_array_append_val (engine->ranges, range);
+      remove_range (engine->loading_ranges, &range);
+      g_array_append_val (engine->loaded_ranges, range);
       jn_write (engine->options.journal, "loaded",
                 ",\"host\":\"%s\",\"model\":\"%s\",\"first\":%u,\"end\":%u",
                 engine->options.name, engine->options.models[range.model].name,
@@ -233,23 +240,25 @@
     }
 }
 
-/* The control thread: carries out load orders and renews the load report.  */
+/* The control thread: loads the queued ranges and refreshes the load
+   report.  */
 void *
 fe_control_loop (void *data)
 {
   struct fe_engine *engine = data;
-  int64_t interval_ms = MAX (engine->options.report_lag_ms, REPORT_MIN_MS);
+  int64_t interval_ms
+      = MAX (engine->options.report_lag_ms, REPORT_INTERVAL_MIN_MS);
   pthread_mutex_lock (&engine->lock);
   while (!engine->stopping)
     {
-      renew_report (engine);
-      if (engine->loading->len > 0)
+      refresh_report (engine);
+      if (engine->loading_ranges->len > 0)
         {
-          load_next (engine);
+          load_first_queued (engine);
         }
       else
         {
-          wait_slice (engine, interval_ms);
+          wait_for_control (engine, interval_ms);
         }
     }
   pthread_mutex_unlock (&engine->lock);
@@ -274,28 +283,28 @@
   g_string_append_c (out, ']');
 }
 
-/* Appends the short load report that goes with each step.  */
+/* Appends the short load report that is part of the answer to each step.  */
 void
 fe_render_load (const struct fe_engine *engine, GString *out)
 {
-  g_string_append_printf (out,
-                          "{\"running\":%u,\"queued\":%u,\"step_us\":%" PRId64
-                          ",\"leaving\":%s}",
-                          engine->running, engine->waiting->len,
-                          engine->step_us, engine->leaving ? "true" : "false");
+  g_string_append_printf (
+      out,
+      "{\"running\":%u,\"queued\":%u,\"step_us\":%" PRId64 ",\"leaving\":%s}",
+      engine->running_jobs, engine->queue->len, engine->average_batch_us,
+      engine->leaving ? "true" : "false");
 }
 
-/* Appends the whole load report.  */
+/* Appends the full load report.  */
 void
 fe_render_report (const struct fe_engine *engine, GString *out)
 {
   fe_render_load (engine, out);
   g_string_truncate (out, out->len - 1);
-  g_string_append_printf (out,
-                          ",\"fence\":%" PRId64 ",\"ranges\":", engine->fence);
-  render_ranges (engine, engine->ranges, out);
+  g_string_append_printf (
+      out, ",\"fence\":%" PRId64 ",\"ranges\":", engine->newest_fence);
+  render_ranges (engine, engine->loaded_ranges, out);
   g_string_append_printf (
       out, ",\"memory_mib\":%u,\"loading\":", engine->options.kv_mib);
-  render_ranges (engine, engine->loading, out);
+  render_ranges (engine, engine->loading_ranges, out);
   g_string_append_c (out, '}');
 }
--- a/standin/engine_private.h
+++ b/standin/engine_private.h
@@ -1,4 +1,5 @@
-/* What the files of the engine stand-in share. */
+/* Internals of the engine stand-in: jobs, streams, requests and the engine's
+   state. */
 #ifndef STANDIN_ENGINE_PRIVATE_H
 #define STANDIN_ENGINE_PRIVATE_H
 
@@ -10,11 +11,12 @@
 #include <jansson.h>
 #include <pthread.h>
 
+/* A range of layers of one model. */
 struct fe_range
 {
   uint32_t model; /* index in the options */
   uint32_t first;
-  uint32_t end;
+  uint32_t end; /* one past the last layer */
 };
 
 enum fe_job_state
@@ -22,7 +24,7 @@
   FE_JOB_WAITING,
   FE_JOB_RUNNING,
   FE_JOB_DONE,
-  FE_JOB_DROPPED /* nothing ran */
+  FE_JOB_DROPPED /* will not run */
 };
 
 struct fe_stream;
@@ -32,15 +34,15 @@
 {
   uint32_t references;
   enum fe_job_state state;
-  struct fe_stream *stream; /* NULL once dropped */
+  struct fe_stream *stream; /* NULL once the stream is freed */
   uint32_t step;
   uint32_t priority;
-  uint64_t arrival;
-  uint64_t *hidden; /* one for each position */
+  uint64_t arrival; /* rises from job to job */
+  uint64_t *hidden; /* hidden state of each position */
   uint32_t positions;
-  uint32_t cached_positions; /* take no time */
+  uint32_t cached_positions; /* found in the prefix cache, so cost no time */
   pthread_cond_t finished;
-  GString *output; /* members of the answer, once done */
+  GString *output; /* start of the answer, once done */
 };
 
 /* The state of one attempt of a request in one layer range. */
@@ -48,18 +50,19 @@
 {
   struct fe_request *request;
   struct fe_range range;
-  uint64_t *kv; /* one for each layer */
+  uint64_t *kv; /* state of each layer */
   uint32_t positions;
   uint32_t next_step;
-  struct fe_job *last; /* NULL after an import */
+  struct fe_job *last_job; /* NULL after an import */
 };
 
+/* A request and the streams of its newest attempt. */
 struct fe_request
 {
   char *id;
-  uint32_t attempt;
+  uint32_t attempt; /* highest seen */
   bool cancelled;
-  int64_t used_at_us;
+  int64_t last_used_us;
   GPtrArray *streams; /* struct fe_stream */
 };
 
@@ -69,29 +72,29 @@
   struct hs_server *server;
   pthread_t batch_thread;
   pthread_t control_thread;
-  pthread_mutex_t lock;   /* guards all below */
-  pthread_cond_t work;    /* a job waits, or the engine stops */
-  pthread_cond_t control; /* an order was taken, or the engine stops */
+  pthread_mutex_t lock;         /* guards all members below */
+  pthread_cond_t work_ready;    /* a job is queued, or the engine stops */
+  pthread_cond_t control_ready; /* a load is queued, or the engine stops */
   bool stopping;
   GHashTable *requests; /* id to struct fe_request */
-  GPtrArray *waiting;   /* struct fe_job, referenced */
-  uint32_t running;
+  GPtrArray *queue;     /* struct fe_job, referenced */
+  uint32_t running_jobs;
   uint64_t next_arrival;
-  uint64_t kv_layer_positions;
-  int64_t step_us; /* moving average of a batch */
-  GArray *ranges;  /* struct fe_range */
-  GArray *loading; /* struct fe_range */
-  int64_t fence;   /* newest seen */
-  GString *report; /* lagging load report */
+  uint64_t kv_layer_positions; /* KV state in use: positions times layers */
+  int64_t average_batch_us;    /* moving average of the time of a batch */
+  GArray *loaded_ranges;       /* struct fe_range */
+  GArray *loading_ranges;      /* struct fe_range, in the order of loading */
+  int64_t newest_fence;        /* highest fencing number of an order */
+  GString *report;             /* load report, refreshed at an interval */
   struct pfx_cache *cache;
-  bool leaving;
-  bool refusing;
-  double slow_factor;
-  uint32_t late_answers; /* steps whose answer will be late */
-  uint32_t late_ms;
-  uint32_t cross_answers; /* pairs of answers that will be swapped */
-  GString *crossing;      /* the first answer of a pair, or NULL */
-  pthread_cond_t crossed;
+  bool leaving;              /* rejects new streams */
+  bool refusing_steps;       /* rejects every step */
+  double slow_factor;        /* for the time of a batch */
+  uint32_t answers_to_delay; /* step answers left to delay */
+  uint32_t answer_delay_ms;
+  uint32_t pairs_to_swap;    /* pairs of step answers left to swap */
+  GString *unswapped_answer; /* waits for the second of a pair, or NULL */
+  pthread_cond_t answer_swapped;
 };
 
 /* A parsed call of /v1/step. */
@@ -104,11 +107,11 @@
   uint32_t priority;
   const char *prompt; /* NULL: none */
   size_t prompt_bytes;
-  uint64_t *hidden; /* input of each position; taken over by the stream code
-                       for later ranges */
-  uint32_t *tokens; /* generated before, or the one of this step */
+  uint64_t *hidden; /* hidden state of each position; owned by the job once
+                       queued */
+  uint32_t *tokens; /* generated earlier for step 0, else the input token */
   uint32_t token_count;
-  uint32_t positions; /* of hidden */
+  uint32_t positions; /* in hidden */
 };
 
 enum err_kind fe_run_step (struct fe_engine *engine, struct fe_step *step,
@@ -121,7 +124,7 @@
 enum err_kind fe_import (struct fe_engine *engine, const char *request,
                          uint32_t attempt, const struct fe_range *range,
                          uint32_t step, const char *kv_hex);
-void fe_disturb_answer (struct fe_engine *engine, GString *body);
+void fe_apply_answer_faults (struct fe_engine *engine, GString *body);
 void fe_free_request (gpointer data);
 void fe_unref_job (struct fe_job *job);
 
@@ -131,19 +134,21 @@
 {
   FE_ORDER_LOAD,
   FE_ORDER_UNLOAD,
-  FE_ORDER_ROLE /* holds this range only */
+  FE_ORDER_ROLE /* load the range and unload all others */
 };
 
-enum err_kind fe_take_order (struct fe_engine *engine, enum fe_order_type type,
-                             const struct fe_range *range, int64_t fence);
+enum err_kind fe_accept_order (struct fe_engine *engine,
+                               enum fe_order_type type,
+                               const struct fe_range *range, int64_t fence);
 void *fe_control_loop (void *data);
-bool fe_holds (const struct fe_engine *engine, const struct fe_range *range);
+bool fe_has_range (const struct fe_engine *engine,
+                   const struct fe_range *range);
 void fe_render_load (const struct fe_engine *engine, GString *out);
 void fe_render_report (const struct fe_engine *engine, GString *out);
 
-void fe_answer_fault (struct fe_engine *engine, const json_t *body,
+void fe_handle_fault (struct fe_engine *engine, const json_t *body,
                       struct hs_answer *answer);
-void fe_handle (void *user, const struct hs_request *request,
-                struct hs_answer *answer);
+void fe_handle_request (void *user, const struct hs_request *request,
+                        struct hs_answer *answer);
 
 #endif
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -10,9 +10,15 @@
 
 #define KV_BYTES_PER_LAYER_POSITION 4096
 #define MIB_BYTES (UINT64_C (1024) * 1024)
-#define IDLE_LIMIT_US (60 * CLK_S_US)
-#define REQUESTS_BEFORE_SWEEP 256
-#define HEX_PER_VALUE 16
+
+/* Time without a call after which a request is evicted. */
+#define REQUEST_IDLE_MAX_US (60 * CLK_S_US)
+
+/* Idle requests are evicted whenever the number of all requests reaches a
+   multiple of this. */
+#define REQUESTS_PER_SWEEP 256
+
+#define HEX_DIGITS_PER_VALUE 16
 
 /* Releases one reference to JOB.  The engine's lock is held.  */
 void
@@ -28,12 +34,12 @@
   g_free (job);
 }
 
-/* Frees a stream; a job of it that did not run yet never will.  */
+/* Frees a stream and drops its job that has not run yet.  */
 static void
 free_stream (gpointer data)
 {
   struct fe_stream *stream = data;
-  struct fe_job *job = stream->last;
+  struct fe_job *job = stream->last_job;
   if (job != NULL && job->state != FE_JOB_DONE)
     {
       job->state = FE_JOB_DROPPED;
@@ -58,8 +64,9 @@
   g_free (request);
 }
 
+/* Returns the KV state that STREAM uses, in positions times layers.  */
 static uint64_t
-kv_use (const struct fe_stream *stream)
+stream_layer_positions (const struct fe_stream *stream)
 {
   return (uint64_t)stream->positions
          * (stream->range.end - stream->range.first);
@@ -72,14 +79,14 @@
   for (guint i = 0; i < request->streams->len; i++)
     {
       engine->kv_layer_positions
-          -= kv_use (g_ptr_array_index (request->streams, i));
+          -= stream_layer_positions (g_ptr_array_index (request->streams, i));
     }
   g_ptr_array_set_size (request->streams, 0);
 }
 
-/* Forgets requests that nobody asked about for IDLE_LIMIT_US.  */
+/* Evicts the requests without a call for REQUEST_IDLE_MAX_US.  */
 static void
-sweep_requests (struct fe_engine *engine, int64_t now_us)
+evict_idle_requests (struct fe_engine *engine, int64_t now_us)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -87,7 +94,7 @@
   while (g_hash_table_iter_next (&iterator, NULL, &value))
     {
       struct fe_request *request = value;
-      if (request->used_at_us + IDLE_LIMIT_US < now_us)
+      if (request->last_used_us + REQUEST_IDLE_MAX_US < now_us)
         {
           drop_streams (engine, request);
           g_hash_table_iter_remove (&iterator);
@@ -95,21 +102,21 @@
     }
 }
 
-/* Finds or creates the record of request ID for ATTEMPT.  A higher attempt
-   drops what lower ones left.  Returns ERR_OUT_OF_ORDER for a lower attempt,
-   ERR_NOT_FOUND for a cancelled one.  */
+/* Sets *FOUND to request ID, which is created if necessary.  An ATTEMPT higher
+   than the request's drops the streams of the earlier one.  Returns
+   ERR_OUT_OF_ORDER for a lower attempt, ERR_NOT_FOUND for a cancelled one.  */
 static enum err_kind
-use_request (struct fe_engine *engine, const char *id, uint32_t attempt,
+get_request (struct fe_engine *engine, const char *id, uint32_t attempt,
              struct fe_request **found)
 {
   int64_t now_us = clk_monotonic_us ();
   struct fe_request *request = g_hash_table_lookup (engine->requests, id);
   if (request == NULL)
     {
-      if (g_hash_table_size (engine->requests) % REQUESTS_BEFORE_SWEEP
-          == REQUESTS_BEFORE_SWEEP - 1)
+      if (g_hash_table_size (engine->requests) % REQUESTS_PER_SWEEP
+          == REQUESTS_PER_SWEEP - 1)
         {
-          sweep_requests (engine, now_us);
+          evict_idle_requests (engine, now_us);
         }
       request = g_new0 (struct fe_request, 1);
       request->id = g_strdup (id);
@@ -127,7 +134,7 @@
       request->attempt = attempt;
       request->cancelled = false;
     }
-  request->used_at_us = now_us;
+  request->last_used_us = now_us;
   *found = request;
   return request->cancelled ? ERR_NOT_FOUND : ERR_NONE;
 }
@@ -146,7 +153,7 @@
   return NULL;
 }
 
-/* Adds a stream of REQUEST on RANGE without positions.  */
+/* Adds a stream without positions to REQUEST, on RANGE.  */
 static struct fe_stream *
 add_stream (const struct fe_engine *engine, struct fe_request *request,
             const struct fe_range *range)
@@ -164,7 +171,7 @@
   return stream;
 }
 
-/* Returns true when POSITIONS more fit into the KV memory of RANGE.  */
+/* Returns whether the KV memory has room for POSITIONS more on RANGE.  */
 static bool
 kv_fits (const struct fe_engine *engine, const struct fe_range *range,
          uint32_t positions)
@@ -175,7 +182,7 @@
   return engine->kv_layer_positions + more <= limit;
 }
 
-/* Journals that new work came, taken or refused.  */
+/* Journals that a stream was opened or refused, as EVENT says.  */
 static void
 journal_open (const struct fe_engine *engine, const struct fe_step *step,
               const char *event)
@@ -188,20 +195,21 @@
             engine->leaving ? "true" : "false");
 }
 
-/* Opens a stream for step 0.  Returns ERR_ENDPOINT_REFUSED or
-   ERR_NO_CAPACITY when it may not be opened.  */
+/* Opens a stream for step 0 or an import.  Returns ERR_ENDPOINT_REFUSED when
+   the host leaves or the range is not loaded, ERR_NO_CAPACITY when the KV
+   memory is full.  */
 static enum err_kind
 open_stream (struct fe_engine *engine, struct fe_request *request,
              const struct fe_step *step, struct fe_stream **opened)
 {
-  if (engine->leaving || !fe_holds (engine, &step->range))
+  if (engine->leaving || !fe_has_range (engine, &step->range))
     {
       journal_open (engine, step, "open_refused");
       return ERR_ENDPOINT_REFUSED;
     }
   if (!kv_fits (engine, &step->range, step->positions))
     {
-      sweep_requests (engine, clk_monotonic_us ());
+      evict_idle_requests (engine, clk_monotonic_us ());
       if (!kv_fits (engine, &step->range, step->positions))
         {
           return ERR_NO_CAPACITY;
@@ -212,21 +220,23 @@
   return ERR_NONE;
 }
 
-/* Returns how many positions of a first step the prefix cache spares.  */
+/* Returns how many positions of a first step are in the prefix cache, in whole
+   blocks.  At least one position is left to run.  Adds the blocks of the step
+   to the cache.  */
 static uint32_t
 cached_positions (struct fe_engine *engine, const struct fe_step *step)
 {
   const char *model = engine->options.models[step->range.model].name;
   const char *bytes = (const char *)step->hidden;
   size_t position_bytes = sizeof step->hidden[0];
-  size_t whole = step->positions;
+  size_t total_positions = step->positions;
   if (step->prompt != NULL)
     {
       bytes = step->prompt;
       position_bytes = MD_PROMPT_BYTES_PER_POSITION;
-      whole = step->prompt_bytes / MD_PROMPT_BYTES_PER_POSITION;
+      total_positions = step->prompt_bytes / MD_PROMPT_BYTES_PER_POSITION;
     }
-  uint32_t blocks = (uint32_t)(whole / PFX_BLOCK_POSITIONS);
+  uint32_t blocks = (uint32_t)(total_positions / PFX_BLOCK_POSITIONS);
   if (blocks == 0)
     {
       return 0;
@@ -244,23 +254,24 @@
   return MIN (found * PFX_BLOCK_POSITIONS, step->positions - 1);
 }
 
-/* Turns the tokens of a step on the first range into the input of each
-   position.  FROM is the number of positions that the stream has.  */
+/* Embeds the prompt and the tokens of a step on the first range as the hidden
+   state of each position.  FROM is the number of positions that the stream has
+   already.  */
 static void
 embed_tokens (struct fe_step *step, uint32_t from)
 {
-  uint32_t prompt
+  uint32_t prompt_positions
       = step->prompt == NULL ? 0 : md_prompt_positions (step->prompt_bytes);
-  step->positions = prompt + step->token_count;
+  step->positions = prompt_positions + step->token_count;
   step->hidden = g_new (uint64_t, step->positions);
   uint32_t *tokens = g_new (uint32_t, step->positions);
-  if (prompt > 0)
+  if (prompt_positions > 0)
     {
       md_prompt_tokens (step->prompt, step->prompt_bytes, tokens);
     }
   for (uint32_t i = 0; i < step->token_count; i++)
     {
-      tokens[prompt + i] = step->tokens[i];
+      tokens[prompt_positions + i] = step->tokens[i];
     }
   for (uint32_t i = 0; i < step->positions; i++)
     {
@@ -269,7 +280,8 @@
   g_free (tokens);
 }
 
-/* Queues the next step of STREAM.  */
+/* Queues a job for the next step of STREAM and returns the job.  Takes over
+   the hidden state of STEP.  */
 static struct fe_job *
 queue_job (struct fe_engine *engine, struct fe_stream *stream,
            struct fe_step *step)
@@ -287,18 +299,19 @@
   step->hidden = NULL;
   job->output = g_string_new (NULL);
   pthread_cond_init (&job->finished, NULL);
-  fe_unref_job (stream->last);
-  stream->last = job;
+  fe_unref_job (stream->last_job);
+  stream->last_job = job;
   stream->next_step = step->step + 1;
   stream->positions += job->positions;
   engine->kv_layer_positions
       += (uint64_t)job->positions * (stream->range.end - stream->range.first);
-  g_ptr_array_add (engine->waiting, job);
-  pthread_cond_signal (&engine->work);
+  g_ptr_array_add (engine->queue, job);
+  pthread_cond_signal (&engine->work_ready);
   return job;
 }
 
-/* Waits until JOB has run.  Returns ERR_NOT_FOUND when it was dropped.  */
+/* Waits until JOB has run and appends its answer to OUTPUT.  Returns
+   ERR_NOT_FOUND when JOB was dropped.  */
 static enum err_kind
 wait_job (struct fe_engine *engine, struct fe_job *job, GString *output)
 {
@@ -317,23 +330,24 @@
   return kind;
 }
 
-/* Finds the job that answers STEP: the kept one or a new one.  */
+/* Sets *JOB to the job that answers STEP: the last one of the stream when the
+   step is repeated, else a new one.  Returns the errors of fe_run_step.  */
 static enum err_kind
-take_step (struct fe_engine *engine, struct fe_step *step, uint32_t *expected,
-           struct fe_job **job)
+find_or_queue_job (struct fe_engine *engine, struct fe_step *step,
+                   uint32_t *expected, struct fe_job **job)
 {
   struct fe_request *request;
   enum err_kind kind
-      = use_request (engine, step->request, step->attempt, &request);
+      = get_request (engine, step->request, step->attempt, &request);
   if (kind != ERR_NONE)
     {
       return kind;
     }
   struct fe_stream *stream = find_stream (request, &step->range);
-  if (stream != NULL && stream->last != NULL
-      && stream->last->step == step->step)
+  if (stream != NULL && stream->last_job != NULL
+      && stream->last_job->step == step->step)
     {
-      *job = stream->last;
+      *job = stream->last_job;
       return ERR_NONE;
     }
   if (stream == NULL && step->step != 0)
@@ -342,7 +356,8 @@
     }
   if (stream != NULL
       && (step->step != stream->next_step
-          || (stream->last != NULL && stream->last->state != FE_JOB_DONE)))
+          || (stream->last_job != NULL
+              && stream->last_job->state != FE_JOB_DONE)))
     {
       *expected = stream->next_step;
       return ERR_OUT_OF_ORDER;
@@ -362,9 +377,11 @@
   return kind;
 }
 
-/* Runs STEP, or finds its kept output, and appends the answer to OUTPUT
-   without its closing brace.  Returns ERR_NOT_FOUND, ERR_OUT_OF_ORDER with
-   EXPECTED set, ERR_ENDPOINT_REFUSED or ERR_NO_CAPACITY.  */
+/* Runs STEP, or reuses the output of the last step when that is repeated, and
+   appends the answer to OUTPUT without its closing brace.  Returns
+   ERR_NOT_FOUND for an unknown stream, a cancelled attempt or a dropped job,
+   ERR_OUT_OF_ORDER for a lower attempt or for another step than *EXPECTED,
+   ERR_ENDPOINT_REFUSED when the engine refuses, or ERR_NO_CAPACITY.  */
 enum err_kind
 fe_run_step (struct fe_engine *engine, struct fe_step *step,
              uint32_t *expected, GString *output)
@@ -372,9 +389,9 @@
   struct fe_job *job = NULL;
   pthread_mutex_lock (&engine->lock);
   enum err_kind kind = ERR_ENDPOINT_REFUSED;
-  if (!engine->refusing && !engine->stopping)
+  if (!engine->refusing_steps && !engine->stopping)
     {
-      kind = take_step (engine, step, expected, &job);
+      kind = find_or_queue_job (engine, step, expected, &job);
     }
   if (kind == ERR_NONE)
     {
@@ -384,14 +401,15 @@
   return kind;
 }
 
-/* Drops the streams of REQUEST up to ATTEMPT, and refuses late steps of
-   them.  */
+/* Drops the streams of REQUEST up to ATTEMPT and marks the attempt as
+   cancelled, so that its later steps are rejected.  Always returns ERR_NONE: a
+   cancel of a lower or a cancelled attempt has no effect.  */
 enum err_kind
 fe_cancel (struct fe_engine *engine, const char *request, uint32_t attempt)
 {
   struct fe_request *found;
   pthread_mutex_lock (&engine->lock);
-  enum err_kind kind = use_request (engine, request, attempt, &found);
+  enum err_kind kind = get_request (engine, request, attempt, &found);
   if (kind == ERR_NONE)
     {
       drop_streams (engine, found);
@@ -404,8 +422,9 @@
   return ERR_NONE;
 }
 
-/* Appends `{"step": N, "kv": HEX}' of a stream at rest to OUTPUT.  Returns
-   ERR_NOT_FOUND, or ERR_OUT_OF_ORDER while a step is under way.  */
+/* Appends `{"step": N, "kv": HEX}' of an idle stream to OUTPUT.  HEX has the
+   number of positions and the state of each layer.  Returns ERR_NOT_FOUND, or
+   ERR_OUT_OF_ORDER while a step runs.  */
 enum err_kind
 fe_export (struct fe_engine *engine, const char *request, uint32_t attempt,
            const struct fe_range *range, GString *output)
@@ -420,7 +439,8 @@
     }
   if (stream != NULL)
     {
-      bool idle = stream->last == NULL || stream->last->state == FE_JOB_DONE;
+      bool idle
+          = stream->last_job == NULL || stream->last_job->state == FE_JOB_DONE;
       kind = idle ? ERR_NONE : ERR_OUT_OF_ORDER;
     }
   if (kind == ERR_NONE)
@@ -438,25 +458,27 @@
   return kind;
 }
 
-/* Reads value INDEX of HEX.  */
+/* Returns value INDEX of HEX.  */
 static uint64_t
 hex_value (const char *hex, size_t index)
 {
-  char digits[HEX_PER_VALUE + 1];
-  memcpy (digits, hex + index * HEX_PER_VALUE, HEX_PER_VALUE);
-  digits[HEX_PER_VALUE] = '\0';
+  char digits[HEX_DIGITS_PER_VALUE + 1];
+  memcpy (digits, hex + index * HEX_DIGITS_PER_VALUE, HEX_DIGITS_PER_VALUE);
+  digits[HEX_DIGITS_PER_VALUE] = '\0';
   return strtoull (digits, NULL, 16);
 }
 
-/* Opens a stream from what fe_export gave as KV_HEX; STEP was the last one
-   run.  Returns ERR_BAD_REQUEST, ERR_OUT_OF_ORDER for a lower attempt or when
-   the stream exists, ERR_ENDPOINT_REFUSED or ERR_NO_CAPACITY.  */
+/* Opens a stream from KV_HEX, the `kv' of an fe_export; STEP is the last step
+   that ran.  Returns ERR_BAD_REQUEST when KV_HEX has the wrong length,
+   ERR_OUT_OF_ORDER for a lower attempt or when the stream exists,
+   ERR_NOT_FOUND for a cancelled attempt, ERR_ENDPOINT_REFUSED or
+   ERR_NO_CAPACITY.  */
 enum err_kind
 fe_import (struct fe_engine *engine, const char *request, uint32_t attempt,
            const struct fe_range *range, uint32_t step, const char *kv_hex)
 {
   uint32_t layers = range->end - range->first;
-  if (strlen (kv_hex) != (size_t)(layers + 1) * HEX_PER_VALUE)
+  if (strlen (kv_hex) != (size_t)(layers + 1) * HEX_DIGITS_PER_VALUE)
     {
       return ERR_BAD_REQUEST;
     }
@@ -469,7 +491,7 @@
     .positions = (uint32_t)hex_value (kv_hex, 0),
   };
   pthread_mutex_lock (&engine->lock);
-  enum err_kind kind = use_request (engine, request, attempt, &found);
+  enum err_kind kind = get_request (engine, request, attempt, &found);
   if (kind == ERR_NONE && find_stream (found, range) != NULL)
     {
       kind = ERR_OUT_OF_ORDER;
@@ -482,7 +504,7 @@
     {
       stream->positions = opening.positions;
       stream->next_step = step + 1;
-      engine->kv_layer_positions += kv_use (stream);
+      engine->kv_layer_positions += stream_layer_positions (stream);
       for (uint32_t i = 0; i < layers; i++)
         {
           stream->kv[i] = hex_value (kv_hex, i + 1);
