--- a/standin/checker.c
+++ b/standin/checker.c
@@ -1,3 +1,4 @@
+/* The events of the journals, and the check of all rules. */
 #include "standin/checker_private.h"
 
 #include "base/error.h"
--- a/standin/checker_fleet.c
+++ b/standin/checker_fleet.c
@@ -13,7 +13,7 @@
 /* Adds KEY to SET, which takes ownership.  Returns false when SET already has
    KEY.  */
 static bool
-add_new (GHashTable *set, char *key)
+add_key (GHashTable *set, char *key)
 {
   return g_hash_table_add (set, key);
 }
@@ -27,12 +27,13 @@
   return found;
 }
 
-/* Checks one step against the earlier ones and records it.  RAN has a key for
-   each layer of each step of each attempt, SEEN one for each layer of each
-   step of each request.  Returns false when a layer runs again, before the
-   layer below it or before its own previous step.  */
+/* Checks one step against the earlier ones and records it.  RAN_IN_ATTEMPT
+   has a key for each layer of each step of each attempt, RAN_IN_REQUEST one
+   for each layer of each step of each request.  Returns false when a layer
+   runs again, before the layer below it or before its own previous step.  */
 static bool
-record_step (const struct ck_event *event, GHashTable *ran, GHashTable *seen)
+record_step (const struct ck_event *event, GHashTable *ran_in_attempt,
+             GHashTable *ran_in_request)
 {
   const char *request = ck_text_member (event, "request");
   int64_t attempt = ck_number_member (event, "attempt");
@@ -42,23 +43,24 @@
   if (first > 0)
     {
       in_order = contains_key (
-          ran, g_strdup_printf ("%s/%" PRId64 "/%" PRId64 "/%" PRId64, request,
-                                attempt, step, first - 1));
+          ran_in_attempt,
+          g_strdup_printf ("%s/%" PRId64 "/%" PRId64 "/%" PRId64, request,
+                           attempt, step, first - 1));
     }
   for (int64_t layer = first; layer < ck_number_member (event, "end"); layer++)
     {
       char *key = g_strdup_printf ("%s/%" PRId64 "/%" PRId64 "/%" PRId64,
                                    request, attempt, step, layer);
-      in_order = add_new (ran, key) && in_order;
+      in_order = add_key (ran_in_attempt, key) && in_order;
       if (step > 0)
         {
-          in_order
-              = contains_key (seen, g_strdup_printf ("%s/%" PRId64 "/%" PRId64,
-                                                     request, step - 1, layer))
-                && in_order;
+          in_order = contains_key (ran_in_request,
+                                   g_strdup_printf ("%s/%" PRId64 "/%" PRId64,
+                                                    request, step - 1, layer))
+                     && in_order;
         }
-      add_new (seen, g_strdup_printf ("%s/%" PRId64 "/%" PRId64, request, step,
-                                      layer));
+      add_key (ran_in_request, g_strdup_printf ("%s/%" PRId64 "/%" PRId64,
+                                                request, step, layer));
     }
   return in_order;
 }
@@ -69,20 +71,21 @@
 void
 ck_check_layers (struct ck_checker *checker)
 {
-  GHashTable *ran
+  GHashTable *ran_in_attempt
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  GHashTable *seen
+  GHashTable *ran_in_request
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < checker->events->len; i++)
     {
       const struct ck_event *event = ck_event_at (checker, i);
-      if (ck_has_name (event, "step") && !record_step (event, ran, seen))
+      if (ck_has_name (event, "step")
+          && !record_step (event, ran_in_attempt, ran_in_request))
         {
           ck_add_violation (checker, CK_LAYERS, event);
         }
     }
-  g_hash_table_destroy (seen);
-  g_hash_table_destroy (ran);
+  g_hash_table_destroy (ran_in_request);
+  g_hash_table_destroy (ran_in_attempt);
 }
 
 /* When each host was first known to leave.  The tables map the name of a host
