--- a/standin/engine.c
+++ b/standin/engine.c
@@ -1,3 +1,4 @@
+/* Creates and stops the engine. */
 #include "standin/engine_private.h"
 
 #include <curl/curl.h>
--- a/standin/engine_batch.c
+++ b/standin/engine_batch.c
@@ -1,3 +1,4 @@
+/* The batch thread: runs queued jobs at the configured rate. */
 #include "standin/engine_private.h"
 
 #include "base/clock.h"
--- a/standin/engine_fault.c
+++ b/standin/engine_fault.c
@@ -1,3 +1,4 @@
+/* Faults on request: slow batches, late or swapped answers, refusals. */
 #include "standin/engine_private.h"
 
 #include "base/clock.h"
@@ -6,6 +7,7 @@
 #include <time.h>
 #include <unistd.h>
 
+/* Exit status for the fault `die'. */
 #define DIE_EXIT_STATUS 1
 
 /* Longest time that an answer waits for another to be swapped with. */
--- a/standin/engine_http.c
+++ b/standin/engine_http.c
@@ -1,3 +1,4 @@
+/* The HTTP interface: parses requests and renders errors. */
 #include "standin/engine_private.h"
 
 #include "base/clock.h"
--- a/standin/engine_order.c
+++ b/standin/engine_order.c
@@ -1,3 +1,4 @@
+/* Orders to load and unload layer ranges, and the load report. */
 #include "standin/engine_private.h"
 
 #include "base/clock.h"
@@ -10,8 +11,12 @@
 
 #define HTTP_OK 200
 #define HTTP_TOO_MANY_REQUESTS 429
+
+/* Requests to the weight store.  WEIGHT_RETRY_MS applies unless the store
+   answers 429 with Retry-After. */
 #define WEIGHT_RETRY_MS 1000
 #define WEIGHT_TIMEOUT_MS 5000
+
 #define REPORT_INTERVAL_MIN_MS 10
 
 static bool
--- a/standin/engine_stream.c
+++ b/standin/engine_stream.c
@@ -1,3 +1,4 @@
+/* Requests and their streams: steps, KV memory, cancel, export and import. */
 #include "standin/engine_private.h"
 
 #include "base/clock.h"
@@ -182,7 +183,7 @@
   return engine->kv_layer_positions + more <= limit;
 }
 
-/* Journals that a stream was opened or refused, as EVENT says.  */
+/* Journals EVENT, the opening of a stream or its refusal.  */
 static void
 journal_open (const struct fe_engine *engine, const struct fe_step *step,
               const char *event)
--- a/test/standin_engine_test.c
+++ b/test/standin_engine_test.c
@@ -251,7 +251,8 @@
 
 /* Two engines in a chain compute the same answer as the model function, also
    when a new attempt replays the stream half way.  Every step on the last
-   range is requested twice, runs once and gives the same output both times. */
+   range is requested twice, runs once and gives the same output both
+   times.  */
 static void
 two_engines_compute_the_model_answer (void **state)
 {
