--- a/standin/load.c
+++ b/standin/load.c
@@ -1,3 +1,4 @@
+/* The workers: threads that start calls when scheduled events are due. */
 #include "standin/load_private.h"
 
 #include "base/clock.h"
--- a/standin/load_balancer.c
+++ b/standin/load_balancer.c
@@ -1,3 +1,4 @@
+/* Chooses the daemon for each call. */
 #include "standin/load_private.h"
 
 #include <pthread.h>
--- a/standin/load_book.c
+++ b/standin/load_book.c
@@ -1,3 +1,4 @@
+/* Bookings, with retries, duplicates and repeats, and look-ups. */
 #include "standin/load_private.h"
 
 #include "base/clock.h"
@@ -125,7 +126,7 @@
          < (gint32)worker->options->repeat_percent;
 }
 
-/* Goes on with BOOKING once it has no open call: schedules a repeat of a
+/* Continues BOOKING once it has no open call: schedules a repeat of a
    successful one, or a retry of another after at least WAIT_US.  Frees it when
    no call follows, because it succeeded, used all attempts or the measured
    time is over.  */
@@ -158,8 +159,8 @@
                booking);
 }
 
-/* Finishes one call of a booking: classifies, counts and journals it, and goes
-   on with the booking.  */
+/* Finishes one call of a booking: classifies, counts and journals it, and
+   continues the booking.  */
 void
 lt_finish_booking (struct lt_call *call, CURLcode result)
 {
--- a/standin/load_call.c
+++ b/standin/load_call.c
@@ -1,3 +1,4 @@
+/* HTTP calls through libcurl. */
 #include "standin/load_private.h"
 
 #include "base/clock.h"
--- a/standin/load_draft.c
+++ b/standin/load_draft.c
@@ -1,3 +1,4 @@
+/* Drafts: random prompts, and streamed answers checked against the model. */
 #include "standin/load_private.h"
 
 #include "base/clock.h"
--- a/standin/load_private.h
+++ b/standin/load_private.h
@@ -8,17 +8,19 @@
 #include <stdatomic.h>
 #include <stdbool.h>
 
+/* Sizes of strings with their terminating NUL. */
 #define LT_ERROR_KIND_BYTES 32
 #define LT_KEY_BYTES 64
 
 /* Length of the windows in which the summary counts tokens. */
 #define LT_WINDOW_US 100000
 
+/* The types of call. */
 enum lt_type
 {
   LT_DRAFT,   /* a streamed answer of the model */
   LT_BOOKING, /* a call with an idempotency key */
-  LT_LOOKUP   /* a call that may be repeated */
+  LT_LOOKUP   /* a GET request without a key */
 };
 
 /* How a call ended. */
@@ -43,7 +45,7 @@
   uint32_t open_calls; /* not answered yet */
   int64_t started_us;
   bool succeeded;         /* a call had the outcome LT_WHOLE */
-  bool repeat_drawn;      /* whether to repeat has been drawn */
+  bool repeat_drawn;      /* draw_repeat was called */
   int64_t booking_number; /* returned by the service; 0: none yet */
 };
 
@@ -69,11 +71,11 @@
   char *prompt;
   uint32_t max_tokens;
   GString *text; /* of the tokens so far */
-  bool done;     /* the end event came */
+  bool done;     /* the end event was received */
   uint32_t tokens;
   uint32_t measured_tokens;
-  int64_t first_token_us; /* when the first token came; 0: none yet */
-  int64_t last_us;        /* when the latest token came */
+  int64_t first_token_us; /* monotonic time; 0: no token yet */
+  int64_t last_us;        /* monotonic time of the latest token */
   int64_t longest_gap_us; /* between two tokens */
   /* bookings */
   struct lt_booking *booking;
--- a/standin/load_stats.c
+++ b/standin/load_stats.c
@@ -1,3 +1,4 @@
+/* Merges the measurements and renders the summary. */
 #include "standin/load_private.h"
 
 #include <inttypes.h>
--- a/test/standin_load_test.c
+++ b/test/standin_load_test.c
@@ -52,7 +52,7 @@
   { "a token is missing", MISSING_TOKEN, false, "wrong", NULL },
   { "a token is repeated", REPEATED_TOKEN, false, "wrong", NULL },
   { "no end event", NO_END_EVENT, false, "cut", NULL },
-  { "answer lost", LOST, false, "cut", NULL },
+  { "lost", LOST, false, "cut", NULL },
   { "error after the first token", ERROR_EVENT, false, "failed", NULL },
   { "refused", REFUSED, false, "refused", NULL },
   { "booked", RIGHT, true, "whole", NULL },
