--- a/standin/entry_process.c
+++ b/standin/entry_process.c
@@ -12,16 +12,16 @@
 {
   char *settings_path;
   char *log_path;
-  char *binary;
+  char *executable;
   char *caller_address;
   char *ready_address;
   pid_t pid; /* 0: not running */
 };
 
-/* Returns the path of the daemon's program: this program lies in a folder
-   beside it.  */
+/* Returns the path of the daemon's executable, allocated.  It is in the parent
+   folder of the folder that holds the running program.  */
 static char *
-find_binary (void)
+find_daemon_executable (void)
 {
   char self[512] = "";
   if (readlink ("/proc/self/exe", self, sizeof self - 1) <= 0)
@@ -33,19 +33,20 @@
   return g_build_filename (build, "kumquatthread", NULL);
 }
 
-/* Returns an address on a free port, allocated.  */
+/* Returns a loopback address with a port that is not in use, allocated.  */
 static char *
-free_address (void)
+unused_address (void)
 {
   return g_strdup_printf ("127.0.0.1:%u", sfl_free_port ());
 }
 
-/* Writes the settings of PARAMS for PROCESS.  */
+/* Writes the settings file of PROCESS from PARAMS.  Aborts when the file can't
+   be written.  */
 static void
 write_settings (struct sep_process *process, const struct sep_params *params)
 {
-  g_autofree char *metrics_address = free_address ();
-  g_autofree char *relay_address = free_address ();
+  g_autofree char *metrics_address = unused_address ();
+  g_autofree char *relay_address = unused_address ();
   g_autofree char *text = g_strdup_printf (
       "name: %s\ndata_centre: kgn\ncaller_address: \"%s\"\n"
       "ready_address: \"%s\"\nmetrics_address: \"%s\"\n"
@@ -64,7 +65,8 @@
     }
 }
 
-/* Writes the settings of a daemon by PARAMS, and doesn't start it yet.  */
+/* Creates a daemon process with PARAMS and writes its settings file.  The
+   daemon isn't started until sep_start.  */
 struct sep_process *
 sep_create (const struct sep_params *params)
 {
@@ -73,14 +75,15 @@
   g_autofree char *log = g_strdup_printf ("%s.log", params->name);
   process->settings_path = g_build_filename (params->folder, settings, NULL);
   process->log_path = g_build_filename (params->folder, log, NULL);
-  process->binary = find_binary ();
-  process->caller_address = free_address ();
-  process->ready_address = free_address ();
+  process->executable = find_daemon_executable ();
+  process->caller_address = unused_address ();
+  process->ready_address = unused_address ();
   write_settings (process, params);
   return process;
 }
 
-/* Kills PROCESS if it runs and frees it; its files stay.  */
+/* Kills PROCESS if it is running and frees it.  The settings file and the log
+   file stay.  */
 void
 sep_destroy (struct sep_process *process)
 {
@@ -91,13 +94,13 @@
     }
   g_free (process->settings_path);
   g_free (process->log_path);
-  g_free (process->binary);
+  g_free (process->executable);
   g_free (process->caller_address);
   g_free (process->ready_address);
   g_free (process);
 }
 
-/* Removes the settings and the log of PROCESS.  */
+/* Deletes the settings file and the log file of PROCESS.  */
 void
 sep_remove_files (const struct sep_process *process)
 {
@@ -105,7 +108,8 @@
   unlink (process->log_path);
 }
 
-/* Starts the daemon, whose lines are added to its log.  */
+/* Starts the daemon.  Its standard output is appended to its log file.  Aborts
+   when no process can be created.  */
 void
 sep_start (struct sep_process *process)
 {
@@ -118,23 +122,23 @@
     {
       if (freopen (process->log_path, "a", stdout) != NULL)
         {
-          execl (process->binary, process->binary, "entry",
+          execl (process->executable, process->executable, "entry",
                  process->settings_path, (char *)NULL);
         }
       _exit (127);
     }
 }
 
-/* Sends the signal NUMBER to the daemon.  Returns false when it doesn't
-   run.  */
+/* Sends the signal NUMBER to the daemon.  Returns false when the daemon isn't
+   running or the signal can't be sent.  */
 bool
 sep_signal (struct sep_process *process, int number)
 {
   return process->pid > 0 && kill (process->pid, number) == 0;
 }
 
-/* Returns true, once, when the daemon has ended, with its STATUS as waitpid
-   tells it.  */
+/* Reaps the daemon without blocking.  Returns true once after the daemon has
+   exited, and sets STATUS as waitpid does; false at any other time.  */
 bool
 sep_has_ended (struct sep_process *process, int *status)
 {
@@ -146,14 +150,15 @@
   return true;
 }
 
-/* True from sep_start until sep_has_ended told the end.  */
+/* Returns true from sep_start until sep_has_ended has reported the exit.  */
 bool
 sep_is_running (const struct sep_process *process)
 {
   return process->pid > 0;
 }
 
-/* Returns the memory that the daemon holds, or 0 when it doesn't run.  */
+/* Returns the daemon's resident memory in KiB, or 0 when the daemon isn't
+   running.  */
 uint64_t
 sep_memory_kb (const struct sep_process *process)
 {
@@ -170,14 +175,14 @@
   return (uint64_t)resident * (uint64_t)sysconf (_SC_PAGESIZE) / 1024;
 }
 
-/* Returns where the daemon serves callers.  */
+/* Returns the address on which the daemon serves callers.  */
 const char *
 sep_caller_address (const struct sep_process *process)
 {
   return process->caller_address;
 }
 
-/* Returns where the daemon tells whether it is ready.  */
+/* Returns the address on which the daemon reports whether it is ready.  */
 const char *
 sep_ready_address (const struct sep_process *process)
 {
--- a/standin/entry_process.h
+++ b/standin/entry_process.h
@@ -1,5 +1,6 @@
-/* An entry daemon as a process of its own, built beside the calling
-   program. */
+/* Runs the entry daemon as a child process, for tests that kill, restart and
+   measure it.  The daemon's executable is expected in the parent folder of the
+   calling program's folder. */
 #ifndef STANDIN_ENTRY_PROCESS_H
 #define STANDIN_ENTRY_PROCESS_H
 
@@ -10,8 +11,8 @@
 
 struct sep_params
 {
-  const char *name;
-  const char *folder; /* for its settings and log */
+  const char *name;   /* of the daemon and of its files in FOLDER */
+  const char *folder; /* holds the daemon's settings file and log file */
   const char *store_address;
   uint32_t drain_ms;
   uint32_t config_ms;
