--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -6,17 +6,18 @@
 #include <string.h>
 #include <unistd.h>
 
-#define CONNECTIONS_MAX 512
+#define CONNECTIONS_MAX 512 /* for each server */
 #define UNSENT_BYTES_MAX 1048576
 #define TIMEOUT_US 30000000
 
-/* Ports are taken from below the range of outgoing connections, by each
-   process from a block of its own. */
+/* Ports are below the ephemeral range, so that outgoing connections don't take
+   them.  Each process uses a block of ports that its process id selects. */
 #define PORT_FIRST 10000
 #define PORT_END 30000
-#define PORT_BLOCK 200
+#define PORT_BLOCK_SIZE 200
 
-/* An engine of this memory holds half the model, with room for requests. */
+/* An engine with 460 MB holds half of the model (4 of 8 layers, 100 MB each)
+   and has room for requests.  The %s take a further API key. */
 #define CONFIGURATION                                                         \
   "{\"Version\":%" G_GUINT64_FORMAT ",\"Routes\":["                           \
   "{\"Name\":\"draft\",\"Hostname\":\"fleet.example\","                       \
@@ -37,9 +38,10 @@
   "\"HeaderTimeoutMs\":3000,\"IdleTimeoutMs\":15000},"                        \
   "\"Tenants\":[{\"Name\":\"account-1\",\"ApiKeys\":[\"key-1\"%s%s%s]}]}"
 
-/* Notes the first broken promise.  */
+/* Records a violation of the protocol by the daemon.  Only the first one is
+   kept.  */
 void
-sfl_violate (struct sfl_fleet *fleet, const char *format, ...)
+sfl_record_violation (struct sfl_fleet *fleet, const char *format, ...)
 {
   if (fleet->violation != NULL)
     {
@@ -51,17 +53,19 @@
   va_end (arguments);
 }
 
-/* Returns a port of loopback that is free, another one each time: its user may
-   open it later.  */
+/* Returns a loopback port that is free now.  Successive calls return different
+   ports, because a caller may listen on its port only later.  */
 uint16_t
 sfl_free_port (void)
 {
-  static guint taken = 0;
-  guint block = (guint)getpid () % ((PORT_END - PORT_FIRST) / PORT_BLOCK);
+  static guint next_offset = 0;
+  guint block = (guint)getpid () % ((PORT_END - PORT_FIRST) / PORT_BLOCK_SIZE);
   for (;;)
     {
-      guint offset = (guint)g_atomic_int_add (&taken, 1) % PORT_BLOCK;
-      uint16_t port = (uint16_t)(PORT_FIRST + block * PORT_BLOCK + offset);
+      guint offset
+          = (guint)g_atomic_int_add (&next_offset, 1) % PORT_BLOCK_SIZE;
+      uint16_t port
+          = (uint16_t)(PORT_FIRST + block * PORT_BLOCK_SIZE + offset);
       struct sockaddr_in address
           = { .sin_family = AF_INET, .sin_port = htons (port) };
       address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
@@ -76,7 +80,8 @@
     }
 }
 
-/* Opens a server of FLEET on a port of loopback, whose ADDRESS is set.  */
+/* Starts a server of FLEET on a free loopback port and sets ADDRESS to its
+   address, allocated.  Aborts when the server can't listen.  */
 struct nsv_server *
 sfl_listen (struct sfl_fleet *fleet, const struct nsv_events *events,
             void *context, char **address)
@@ -114,8 +119,8 @@
   sfl_endpoint_open (endpoint);
 }
 
-/* Creates a fleet with the configuration of version 1.  Endpoints are numbered
-   from 0, engines first.  */
+/* Creates a fleet and publishes its configuration as version 1.  Endpoints are
+   numbered from 0, engines first.  */
 struct sfl_fleet *
 sfl_create (const struct sfl_params *params)
 {
@@ -132,7 +137,8 @@
   return fleet;
 }
 
-/* Closes FLEET; the loop must run until its handles are closed.  */
+/* Closes and frees FLEET.  The loop must run afterwards until all handles are
+   closed.  */
 void
 sfl_destroy (struct sfl_fleet *fleet)
 {
@@ -158,15 +164,15 @@
   g_free (fleet);
 }
 
-/* Returns the address of the store.  */
+/* Returns the address that the store listens on.  */
 const char *
 sfl_store_address (const struct sfl_fleet *fleet)
 {
   return fleet->store_address;
 }
 
-/* Publishes the configuration as VERSION, with EXTRA_KEY beside the key that
-   the account always has, unless it is NULL.  */
+/* Publishes the configuration as VERSION.  The account has the key `key-1',
+   and EXTRA_KEY as well unless EXTRA_KEY is NULL.  */
 void
 sfl_publish (struct sfl_fleet *fleet, uint64_t version, const char *extra_key)
 {
@@ -183,47 +189,49 @@
   return g_ptr_array_index (fleet->endpoints, index);
 }
 
-/* Removes the endpoint INDEX from the list; it goes on serving.  */
+/* Removes the endpoint INDEX from the endpoint list.  The endpoint continues
+   to serve requests.  */
 void
 sfl_remove (struct sfl_fleet *fleet, uint32_t index)
 {
-  sfl_endpoint_list (endpoint_at (fleet, index), NULL);
+  sfl_endpoint_publish (endpoint_at (fleet, index), NULL);
 }
 
-/* Starts the endpoint INDEX, which was killed, anew under another id and
-   address.  */
+/* Restarts the endpoint INDEX, which was killed, with a new id and address and
+   without layers.  */
 void
 sfl_restart (struct sfl_fleet *fleet, uint32_t index)
 {
   struct sfl_endpoint *endpoint = endpoint_at (fleet, index);
   g_free (endpoint->id);
   g_free (endpoint->address);
-  endpoint->starts++;
+  endpoint->restarts++;
   endpoint->id = g_strdup_printf ("%s-%u-%u",
                                   endpoint->is_engine ? "engine" : "service",
-                                  index, endpoint->starts);
+                                  index, endpoint->restarts);
   endpoint->dead = false;
-  endpoint->first = 0;
-  endpoint->end = 0;
-  endpoint->fence = 0;
+  endpoint->first_layer = 0;
+  endpoint->end_layer = 0;
+  endpoint->fencing_token = 0;
   sfl_endpoint_open (endpoint);
 }
 
-/* True unless the endpoint INDEX was killed.  */
+/* Returns true unless the endpoint INDEX is killed.  */
 bool
 sfl_is_alive (const struct sfl_fleet *fleet, uint32_t index)
 {
   return !endpoint_at (fleet, index)->dead;
 }
 
-/* Lists the endpoint INDEX as leaving; it goes on serving.  */
+/* Lists the endpoint INDEX as draining.  The endpoint continues to serve
+   requests.  */
 void
 sfl_leave (struct sfl_fleet *fleet, uint32_t index)
 {
-  sfl_endpoint_list (endpoint_at (fleet, index), "draining");
+  sfl_endpoint_publish (endpoint_at (fleet, index), "draining");
 }
 
-/* Kills the endpoint INDEX, which the list goes on naming.  */
+/* Kills the endpoint INDEX.  Its entry in the endpoint list stays.  */
 void
 sfl_kill (struct sfl_fleet *fleet, uint32_t index)
 {
@@ -233,7 +241,8 @@
   endpoint->server = NULL;
 }
 
-/* Gives the next REQUESTS to services, or to ENGINES, the FAULT.  */
+/* Injects FAULT into the next REQUESTS requests to engines when ENGINES is
+   true, else to services.  */
 void
 sfl_set_fault (struct sfl_fleet *fleet, bool engines, enum sfl_fault fault,
                uint32_t requests)
@@ -242,29 +251,30 @@
   fleet->fault_requests[engines] = requests;
 }
 
-/* Returns how often the request REQUEST_ID has run.  */
+/* Returns how many times the request REQUEST_ID was run.  */
 uint32_t
 sfl_runs (const struct sfl_fleet *fleet, const char *request_id)
 {
   return GPOINTER_TO_UINT (g_hash_table_lookup (fleet->runs, request_id));
 }
 
-/* Returns the number of requests that reached the endpoint INDEX.  */
+/* Returns the number of requests that the endpoint INDEX has received.  */
 uint32_t
 sfl_arrivals (const struct sfl_fleet *fleet, uint32_t index)
 {
   return endpoint_at (fleet, index)->arrivals;
 }
 
-/* Returns the number of answers whose connections were closed by the daemon
-   before their end.  */
+/* Returns the number of answers that the daemon cancelled by closing the
+   connection.  */
 uint32_t
 sfl_cancelled (const struct sfl_fleet *fleet)
 {
   return fleet->cancelled;
 }
 
-/* True when living engines hold every layer.  */
+/* Returns true when each layer is held by at least one engine that isn't
+   killed.  */
 bool
 sfl_is_placed (const struct sfl_fleet *fleet)
 {
@@ -272,8 +282,8 @@
   for (guint i = 0; i < fleet->endpoints->len; i++)
     {
       const struct sfl_endpoint *endpoint = endpoint_at (fleet, i);
-      for (uint32_t layer = endpoint->first;
-           !endpoint->dead && layer < endpoint->end; layer++)
+      for (uint32_t layer = endpoint->first_layer;
+           !endpoint->dead && layer < endpoint->end_layer; layer++)
         {
           held |= 1U << layer;
         }
@@ -281,7 +291,7 @@
   return held == (1U << SFL_LAYERS) - 1;
 }
 
-/* Returns the first broken promise, or NULL.  */
+/* Returns a description of the first violation of the protocol, or NULL.  */
 const char *
 sfl_violation (const struct sfl_fleet *fleet)
 {
--- a/standin/fleet.h
+++ b/standin/fleet.h
@@ -1,6 +1,8 @@
-/* The users' platform on loopback: the store with the configuration and the
-   list of endpoints, engines that pass work on along a path, and a plain
-   service; with faults.  Runs on the event loop of the calling thread. */
+/* Simulates on loopback what an entry daemon depends on, for tests and soak
+   runs: a store with the configuration and the endpoint list, engines that
+   run requests along a path of layers, and a plain service.  Faults can be
+   injected into each of them.  Runs on the event loop of the calling thread
+   and isn't thread-safe. */
 #ifndef STANDIN_FLEET_H
 #define STANDIN_FLEET_H
 
@@ -9,56 +11,62 @@
 #include <stdint.h>
 #include <uv.h>
 
-#define SFL_LAYERS 8
-#define SFL_STREAM_EVENTS 12
+#define SFL_LAYERS 8         /* layers of the model */
+#define SFL_STREAM_EVENTS 12 /* events in a complete stream */
 
-/* What an endpoint does with the next requests. */
+/* How an endpoint handles the next requests. */
 enum sfl_fault
 {
-  SFL_SOUND,
-  SFL_REFUSES,     /* says that it didn't run the request */
-  SFL_FAILS,       /* runs it and answers with a failure */
-  SFL_CUTS,        /* runs it and closes the connection */
-  SFL_CUTS_MIDWAY, /* streams: closes within the third event */
-  SFL_TEARS,       /* ends its answer too early, with a longer length */
-  SFL_WITHOUT_LENGTH,
-  SFL_FOREIGN, /* answers for another request */
-  SFL_UNSIGNED,
-  SFL_MUTE,  /* runs it and says nothing */
-  SFL_STALLS /* engines: depends on the engine that is named dead */
+  SFL_SOUND,       /* no fault */
+  SFL_REFUSES,     /* answers that the request wasn't executed */
+  SFL_FAILS,       /* services: runs the request, answers with status 500 */
+  SFL_CUTS,        /* services: runs the request, closes the connection */
+  SFL_CUTS_MIDWAY, /* streams: closes the connection within the third event */
+  SFL_TEARS,       /* services: runs the request, closes the connection
+                      within the body */
+  SFL_WITHOUT_LENGTH, /* answers with a body that only the end of the
+                         connection delimits */
+  SFL_FOREIGN,        /* answers with the id of another request */
+  SFL_UNSIGNED,       /* answers without the signature header */
+  SFL_MUTE,           /* runs the request and never answers */
+  SFL_STALLS          /* engines: stalls, then closes; the engine's report
+                         names the killed engines that its work waits for */
 };
 
-/* What the store does with calls. */
+/* How the store handles calls. */
 enum sfl_store_state
 {
-  SFL_STORE_SOUND,
-  SFL_STORE_REFUSES,
-  SFL_STORE_SILENT, /* never answers those that come now */
-  SFL_STORE_LOSES   /* does what is asked and closes the connection */
+  SFL_STORE_SOUND,   /* no fault */
+  SFL_STORE_REFUSES, /* answers with status 503 */
+  SFL_STORE_SILENT,  /* never answers calls that arrive in this state */
+  SFL_STORE_LOSES    /* applies joins; closes the connection unanswered */
 };
 
 struct sfl_fleet;
 
-/* What an endpoint sees, told as it happens.  */
+/* Callbacks for the requests at an endpoint.  */
 struct sfl_observer
 {
-  /* A request has reached it, and begins to run.  */
+  /* A request has reached the endpoint.  */
   void (*arrived) (void *context, uint32_t endpoint, const char *request_id);
+  /* The endpoint starts to run the request.  */
   void (*runs) (void *context, uint32_t endpoint, const char *request_id);
-  /* It no longer works on the request.  */
+  /* The endpoint has stopped working on the request: its answer is complete,
+     cut off or cancelled.  */
   void (*rests) (void *context, const char *request_id);
 };
 
 struct sfl_params
 {
   uv_loop_t *loop;
-  uint32_t engines; /* each with memory for half the model */
+  uint32_t engines; /* each has memory for half of the model */
   uint32_t services;
-  uint32_t event_ms;     /* between two events of a stream */
-  uint64_t group_ttl_ms; /* a member that is silent for longer is gone */
-  const struct sfl_observer *observer; /* NULL: none */
-  /* Returns the address to list in place of ADDRESS, allocated; NULL: the
-     same.  */
+  uint32_t event_ms;     /* interval between two events of a stream */
+  uint64_t group_ttl_ms; /* a member expires this long after its last join;
+                            0: 1000 */
+  const struct sfl_observer *observer; /* NULL: none; gets CONTEXT */
+  /* Returns the address to publish for an endpoint that listens on ADDRESS,
+     allocated.  A NULL callback publishes ADDRESS.  */
   char *(*announce) (void *context, const char *address);
   void *context;
 };
--- a/standin/fleet_endpoint.c
+++ b/standin/fleet_endpoint.c
@@ -1,4 +1,4 @@
-/* The engines and plain services of the stand-in fleet. */
+/* The engines and plain services of the simulated fleet. */
 #include "standin/fleet_private.h"
 
 #include "platform/headers.h"
@@ -8,10 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a plain call takes. */
-#define CALL_MS 5
+/* Duration of a call to a plain service. */
+#define SERVICE_CALL_MS 5
 
-/* How long work that depends on a dead engine stalls before it is cut. */
+/* Time until an engine closes the connection of a stalled request. */
 #define STALL_MS 1500
 
 static void
@@ -23,7 +23,7 @@
 }
 
 static void
-end_answer (struct sfl_answer *answer)
+finish_answer (struct sfl_answer *answer)
 {
   const struct sfl_params *params = &answer->endpoint->fleet->params;
   if (params->observer != NULL)
@@ -33,9 +33,9 @@
   uv_close ((uv_handle_t *)&answer->timer, on_answer_closed);
 }
 
-/* Notes that a request runs on ENDPOINT.  */
+/* Counts a run of the request ID and notifies the observer.  */
 static void
-note_run (const struct sfl_endpoint *endpoint, const char *id)
+count_run (const struct sfl_endpoint *endpoint, const char *id)
 {
   struct sfl_fleet *fleet = endpoint->fleet;
   if (fleet->params.observer != NULL)
@@ -48,9 +48,9 @@
                        GUINT_TO_POINTER (runs + 1));
 }
 
-/* Returns the endpoint at ADDRESS, or NULL.  */
+/* Returns the endpoint whose published address is ADDRESS, or NULL.  */
 static struct sfl_endpoint *
-find_address (struct sfl_fleet *fleet, const char *address)
+find_endpoint (struct sfl_fleet *fleet, const char *address)
 {
   for (guint i = 0; i < fleet->endpoints->len; i++)
     {
@@ -63,9 +63,9 @@
   return NULL;
 }
 
-/* Checks that the path TEXT runs every layer once, in order, from ENDPOINT on.
-   Returns the address of the engine that is dead or doesn't hold its part,
-   allocated, or NULL.  */
+/* Records a violation unless the path TEXT starts at ENDPOINT and covers every
+   layer once, in order.  Returns the address of the first engine that is dead
+   or doesn't hold its part of the path, allocated, or NULL.  */
 static char *
 check_path (struct sfl_endpoint *endpoint, const char *text)
 {
@@ -79,15 +79,16 @@
       uint32_t first = 0;
       uint32_t end = 0;
       int fields = sscanf (parts[i], "%63[^=]=%u-%u", address, &first, &end);
-      const struct sfl_endpoint *part = find_address (fleet, address);
+      const struct sfl_endpoint *part = find_endpoint (fleet, address);
       if (fields != 3 || first != next || end <= first
           || (i == 0 && part != endpoint))
         {
-          sfl_violate (fleet, "path '%s' is wrong at part %u", text, i);
+          sfl_record_violation (fleet, "path '%s' is wrong at part %u", text,
+                                i);
           break;
         }
-      bool serves = part != NULL && !part->dead && first >= part->first
-                    && end <= part->end;
+      bool serves = part != NULL && !part->dead && first >= part->first_layer
+                    && end <= part->end_layer;
       if (at_fault == NULL && !serves)
         {
           at_fault = g_strdup (address);
@@ -96,13 +97,13 @@
     }
   if (next != SFL_LAYERS)
     {
-      sfl_violate (fleet, "path '%s' ends at layer %u", text, next);
+      sfl_record_violation (fleet, "path '%s' ends at layer %u", text, next);
     }
   g_strfreev (parts);
   return at_fault;
 }
 
-/* Writes the headers of ANSWER's endpoint into HEADERS.  */
+/* Writes the response headers of ANSWER into HEADERS of BYTES bytes.  */
 static void
 write_headers (const struct sfl_answer *answer, char *headers, size_t bytes)
 {
@@ -116,18 +117,19 @@
               answer->is_stream ? "text/event-stream" : "text/plain");
 }
 
-/* Sends the next event of a stream.  Returns false after the last one.  */
+/* Sends the next event of a stream, the first one after the response headers.
+   Returns false when the answer has ended.  */
 static bool
 send_event (struct sfl_answer *answer)
 {
   char headers[512];
   char event[64];
-  if (!answer->begun)
+  if (!answer->headers_sent)
     {
       write_headers (answer, headers, sizeof headers);
       nsv_begin (answer->connection, HTTP_STATUS_OK, headers,
                  answer->fault != SFL_WITHOUT_LENGTH);
-      answer->begun = true;
+      answer->headers_sent = true;
     }
   answer->next_event++;
   int length = g_snprintf (event, sizeof event, "id: %u\ndata: %s-%u\n\n",
@@ -154,11 +156,11 @@
   struct sfl_answer *answer = timer->data;
   if (!send_event (answer))
     {
-      end_answer (answer);
+      finish_answer (answer);
     }
 }
 
-/* Ends a plain call.  */
+/* Answers a call to a plain service as the fault of the call says.  */
 static void
 on_call_done (uv_timer_t *timer)
 {
@@ -192,18 +194,19 @@
                   (size_t)length);
       break;
     }
-  end_answer (answer);
+  finish_answer (answer);
 }
 
 static void
-on_stall_over (uv_timer_t *timer)
+on_stall_timeout (uv_timer_t *timer)
 {
   struct sfl_answer *answer = timer->data;
   nsv_abort (answer->connection);
-  end_answer (answer);
+  finish_answer (answer);
 }
 
-/* Returns the fault of the next request to ENDPOINT.  */
+/* Returns the fault for the next request to ENDPOINT and counts the request
+   off.  */
 static enum sfl_fault
 take_fault (struct sfl_endpoint *endpoint)
 {
@@ -217,7 +220,8 @@
   return fleet->faults[engine];
 }
 
-/* Answers that the request wasn't run, because of AT_FAULT.  */
+/* Answers that the request wasn't executed and names the address AT_FAULT of
+   the endpoint that caused the refusal.  */
 static void
 refuse (struct nsv_connection *connection, const char *at_fault)
 {
@@ -228,10 +232,12 @@
   nsv_answer (connection, HTTP_STATUS_SERVICE_UNAVAILABLE, headers, "", 0);
 }
 
-/* Runs REQUEST.  */
+/* Runs REQUEST with FAULT.  A stream resumes after the event that the
+   request's Last-Event-Id header names.  */
 static void
-run (struct sfl_endpoint *endpoint, struct nsv_connection *connection,
-     const struct msg_message *request, const char *id, enum sfl_fault fault)
+run_request (struct sfl_endpoint *endpoint, struct nsv_connection *connection,
+             const struct msg_message *request, const char *id,
+             enum sfl_fault fault)
 {
   struct sfl_fleet *fleet = endpoint->fleet;
   const char *last_event = msg_find (request, PFH_LAST_EVENT_ID);
@@ -245,14 +251,14 @@
   uv_timer_init (fleet->params.loop, &answer->timer);
   answer->timer.data = answer;
   nsv_bind (connection, answer);
-  note_run (endpoint, id);
+  count_run (endpoint, id);
   if (fault == SFL_MUTE)
     {
       return;
     }
   if (fault == SFL_STALLS)
     {
-      uv_timer_start (&answer->timer, on_stall_over, STALL_MS, 0);
+      uv_timer_start (&answer->timer, on_stall_timeout, STALL_MS, 0);
     }
   else if (endpoint->is_engine)
     {
@@ -261,14 +267,15 @@
     }
   else
     {
-      uv_timer_start (&answer->timer, on_call_done, CALL_MS, 0);
+      uv_timer_start (&answer->timer, on_call_done, SERVICE_CALL_MS, 0);
     }
 }
 
-/* Takes an order to hold layers.  */
+/* Applies an order to hold a range of layers and publishes the endpoint.
+   Rejects an order whose fencing token is older than the last one.  */
 static void
-take_order (struct sfl_endpoint *endpoint, struct nsv_connection *connection,
-            const struct msg_message *request)
+apply_order (struct sfl_endpoint *endpoint, struct nsv_connection *connection,
+             const struct msg_message *request)
 {
   json_t *root = json_loadb ((const char *)request->body->data,
                              request->body->len, 0, NULL);
@@ -279,27 +286,29 @@
   uint32_t end
       = (uint32_t)json_integer_value (json_object_get (root, "Target"));
   json_decref (root);
-  if (fence < endpoint->fence)
+  if (fence < endpoint->fencing_token)
     {
       nsv_answer (connection, HTTP_STATUS_PRECONDITION_FAILED, "", "", 0);
       return;
     }
   if (end - first > SFL_LAYERS / 2)
     {
-      sfl_violate (endpoint->fleet, "%s is ordered to hold %u layers",
-                   endpoint->id, end - first);
+      sfl_record_violation (endpoint->fleet, "%s is ordered to hold %u layers",
+                            endpoint->id, end - first);
     }
-  endpoint->fence = fence;
-  endpoint->first = first;
-  endpoint->end = end;
+  endpoint->fencing_token = fence;
+  endpoint->first_layer = first;
+  endpoint->end_layer = end;
   endpoint->orders++;
   nsv_answer (connection, HTTP_STATUS_ACCEPTED, "", "", 0);
-  sfl_endpoint_list (endpoint, "ready");
+  sfl_endpoint_publish (endpoint, "ready");
 }
 
-/* Tells which engine the stalled work waits for: the dead one.  */
+/* Answers with the report of ENDPOINT, which lists all dead endpoints as those
+   that stall its work.  */
 static void
-report (struct sfl_endpoint *endpoint, struct nsv_connection *connection)
+answer_report (struct sfl_endpoint *endpoint,
+               struct nsv_connection *connection)
 {
   GString *body = g_string_new ("{\"Stalled\":[");
   for (guint i = 0; i < endpoint->fleet->endpoints->len; i++)
@@ -318,7 +327,8 @@
   g_string_free (body, TRUE);
 }
 
-/* Checks what every request to an endpoint must bear.  */
+/* Records a violation when a header that every request to an endpoint needs is
+   missing or wrong, or when the caller's API key was forwarded.  */
 static void
 check_request (struct sfl_endpoint *endpoint,
                const struct msg_message *request)
@@ -326,19 +336,21 @@
   const char *left = msg_find (request, PFH_TIME_LEFT_MS);
   if (msg_find (request, PFH_API_KEY) != NULL)
     {
-      sfl_violate (endpoint->fleet, "a key was passed on");
+      sfl_record_violation (endpoint->fleet, "a key was passed on");
     }
   if (g_strcmp0 (msg_find (request, PFH_ACCOUNT), "account-1") != 0)
     {
-      sfl_violate (endpoint->fleet, "the account is missing or wrong");
+      sfl_record_violation (endpoint->fleet,
+                            "the account is missing or wrong");
     }
   if (left == NULL || atoi (left) <= 0)
     {
-      sfl_violate (endpoint->fleet, "no time is left");
+      sfl_record_violation (endpoint->fleet, "no time is left");
     }
   if (msg_find (request, "X-Own") == NULL)
     {
-      sfl_violate (endpoint->fleet, "a header of the caller is missing");
+      sfl_record_violation (endpoint->fleet,
+                            "a header of the caller is missing");
     }
 }
 
@@ -351,12 +363,12 @@
   const char *url = request->url->str;
   if (strcmp (url, "/api/order") == 0)
     {
-      take_order (endpoint, connection, request);
+      apply_order (endpoint, connection, request);
       return;
     }
   if (strcmp (url, "/api/report") == 0)
     {
-      report (endpoint, connection);
+      answer_report (endpoint, connection);
       return;
     }
   const char *id = msg_find (request, PFH_REQUEST_ID);
@@ -388,7 +400,7 @@
     }
   else
     {
-      run (endpoint, connection, request, id, fault);
+      run_request (endpoint, connection, request, id, fault);
     }
 }
 
@@ -397,7 +409,7 @@
 {
   struct sfl_answer *answer = context;
   answer->endpoint->fleet->cancelled++;
-  end_answer (answer);
+  finish_answer (answer);
 }
 
 static void
@@ -412,16 +424,17 @@
   .drained = on_drained,
 };
 
-/* Lists ENDPOINT in STATE, or removes it when that is NULL.  */
+/* Publishes ENDPOINT to the endpoint list with STATE, or removes its entry
+   when STATE is NULL.  */
 void
-sfl_endpoint_list (struct sfl_endpoint *endpoint, const char *state)
+sfl_endpoint_publish (struct sfl_endpoint *endpoint, const char *state)
 {
   char *entry = NULL;
   if (state != NULL)
     {
       char *layers = g_strdup_printf (
           ",\"Kind\":\"small\",\"Layers\":{\"From\":%u,\"Target\":%u}",
-          endpoint->first, endpoint->end);
+          endpoint->first_layer, endpoint->end_layer);
       entry = g_strdup_printf (
           "{\"Service\":\"%s\",\"Address\":\"%s\",\"Zone\":\"kgn\","
           "\"Slots\":64,\"State\":\"%s\",\"born\":1%s}",
@@ -434,7 +447,7 @@
   g_free (entry);
 }
 
-/* Opens and lists ENDPOINT.  */
+/* Starts the server of ENDPOINT and publishes the endpoint as ready.  */
 void
 sfl_endpoint_open (struct sfl_endpoint *endpoint)
 {
@@ -447,5 +460,5 @@
       g_free (endpoint->address);
       endpoint->address = listed;
     }
-  sfl_endpoint_list (endpoint, "ready");
+  sfl_endpoint_publish (endpoint, "ready");
 }
--- a/standin/fleet_group.c
+++ b/standin/fleet_group.c
@@ -1,4 +1,5 @@
-/* The group of the stand-in store: deals its partitions to the members. */
+/* The consumer group of the simulated store, which assigns the store's
+   partitions to the group's members. */
 #include "standin/fleet_private.h"
 
 #include "base/clock.h"
@@ -7,7 +8,7 @@
 #include <string.h>
 
 #define PARTITIONS 2
-#define TTL_MS 1000
+#define TTL_DEFAULT_MS 1000
 
 static void
 destroy_member (gpointer data)
@@ -17,25 +18,25 @@
   g_free (member);
 }
 
-/* Opens the group of FLEET, without members.  */
+/* Creates the group of FLEET without members.  */
 void
 sfl_group_open (struct sfl_fleet *fleet)
 {
   fleet->members = g_ptr_array_new_with_free_func (destroy_member);
   if (fleet->params.group_ttl_ms == 0)
     {
-      fleet->params.group_ttl_ms = TTL_MS;
+      fleet->params.group_ttl_ms = TTL_DEFAULT_MS;
     }
 }
 
-/* Closes what sfl_group_open opened.  */
+/* Frees the group of FLEET.  */
 void
 sfl_group_close (struct sfl_fleet *fleet)
 {
   g_ptr_array_free (fleet->members, TRUE);
 }
 
-/* Takes the members out that were silent for too long.  */
+/* Removes members whose last join is older than the group's time to live.  */
 static void
 expire_members (struct sfl_fleet *fleet)
 {
@@ -44,7 +45,7 @@
   for (guint i = fleet->members->len; i-- > 0;)
     {
       const struct sfl_member *member = g_ptr_array_index (fleet->members, i);
-      if (member->heard_us < oldest_us)
+      if (member->last_join_us < oldest_us)
         {
           g_ptr_array_remove_index (fleet->members, i);
           fleet->generation++;
@@ -52,7 +53,8 @@
     }
 }
 
-/* Returns the index of the member NAME, or the number of members.  */
+/* Returns the index of the member NAME, or the number of members when the
+   group has no such member.  */
 static guint
 find_member (const struct sfl_fleet *fleet, const char *name)
 {
@@ -67,24 +69,25 @@
   return fleet->members->len;
 }
 
-/* Returns the index of the member NAME, which joins at need.  */
+/* Renews the member NAME, or adds it when the group has no such member.
+   Returns the member's index.  */
 static guint
-note_member (struct sfl_fleet *fleet, const char *name)
+renew_member (struct sfl_fleet *fleet, const char *name)
 {
   guint index = find_member (fleet, name);
   if (index == fleet->members->len)
     {
-      struct sfl_member *fresh = g_new0 (struct sfl_member, 1);
-      fresh->name = g_strdup (name);
-      g_ptr_array_add (fleet->members, fresh);
+      struct sfl_member *added = g_new0 (struct sfl_member, 1);
+      added->name = g_strdup (name);
+      g_ptr_array_add (fleet->members, added);
       fleet->generation++;
     }
   struct sfl_member *member = g_ptr_array_index (fleet->members, index);
-  member->heard_us = clk_monotonic_us ();
+  member->last_join_us = clk_monotonic_us ();
   return index;
 }
 
-/* Returns the member's name in REQUEST, allocated, or NULL.  */
+/* Returns the name of the member that sent REQUEST, allocated, or NULL.  */
 static char *
 member_name (const struct msg_message *request)
 {
@@ -95,22 +98,24 @@
   return name;
 }
 
-/* Takes the joining of a member without an answer.  */
+/* Applies a join request without answering it, as when the answer is lost.  */
 void
-sfl_group_note (struct sfl_fleet *fleet, const struct msg_message *request)
+sfl_group_join_unanswered (struct sfl_fleet *fleet,
+                           const struct msg_message *request)
 {
   g_autofree char *name = member_name (request);
   expire_members (fleet);
   if (name != NULL)
     {
-      note_member (fleet, name);
+      renew_member (fleet, name);
     }
 }
 
-/* Takes a joining or a leaving and answers CONNECTION.  */
+/* Applies a join request, or a leave request when LEAVES is true, and answers
+   CONNECTION with the generation and the partitions assigned to the member. */
 void
-sfl_group_call (struct sfl_fleet *fleet, struct nsv_connection *connection,
-                const struct msg_message *request, bool leaves)
+sfl_group_serve (struct sfl_fleet *fleet, struct nsv_connection *connection,
+                 const struct msg_message *request, bool leaves)
 {
   g_autofree char *name = member_name (request);
   GString *body = g_string_new (NULL);
@@ -118,7 +123,7 @@
   guint index = fleet->members->len;
   if (name != NULL && !leaves)
     {
-      index = note_member (fleet, name);
+      index = renew_member (fleet, name);
     }
   else if (name != NULL && find_member (fleet, name) < index)
     {
@@ -145,7 +150,8 @@
   g_string_free (body, TRUE);
 }
 
-/* Deals all partitions anew, so that another member gets the first one.  */
+/* Reassigns the partitions so that the first one moves to another member, if
+   there is one.  Starts a new generation.  */
 void
 sfl_deal_anew (struct sfl_fleet *fleet)
 {
--- a/standin/fleet_store.c
+++ b/standin/fleet_store.c
@@ -1,4 +1,4 @@
-/* The store of the stand-in fleet. */
+/* The simulated store: keyed topics with long-poll reads, served over HTTP. */
 #include "standin/fleet_private.h"
 
 #include <jansson.h>
@@ -21,6 +21,7 @@
   g_hash_table_destroy (topic->newest);
 }
 
+/* Appends VALUE to BODY as a big-endian number of BYTES bytes.  */
 static void
 append_number (GByteArray *body, uint64_t value, uint32_t bytes)
 {
@@ -31,14 +32,15 @@
     }
 }
 
-/* Answers CONNECTION with the records of TOPIC from offset FROM on.  */
+/* Answers CONNECTION with the end offset and the first offset of TOPIC and the
+   records from offset FROM on, each after its length.  */
 static void
 answer_read (struct nsv_connection *connection, const struct sfl_topic *topic,
              uint64_t from)
 {
   GByteArray *body = g_byte_array_new ();
   append_number (body, topic->records->len, 8);
-  append_number (body, topic->first, 8);
+  append_number (body, topic->first_offset, 8);
   for (guint i = (guint)from; i < topic->records->len; i++)
     {
       gsize bytes = 0;
@@ -57,15 +59,15 @@
   g_free (handle->data);
 }
 
-/* Ends READER; its answer is sent when ANSWER.  */
+/* Ends the long-poll read READER; sends its answer when ANSWER is true.  */
 static void
 end_reader (struct sfl_reader *reader, bool answer)
 {
-  if (reader->over)
+  if (reader->ended)
     {
       return;
     }
-  reader->over = true;
+  reader->ended = true;
   g_ptr_array_remove (reader->fleet->readers, reader);
   if (answer)
     {
@@ -75,12 +77,13 @@
 }
 
 static void
-on_wait_over (uv_timer_t *timer)
+on_wait_timeout (uv_timer_t *timer)
 {
   end_reader (timer->data, true);
 }
 
-/* Appends the record of KEY, removed when VALUE is NULL, to TOPIC.  */
+/* Appends a record with KEY and VALUE to TOPIC and answers the reads that wait
+   for the topic.  A NULL VALUE appends a record that removes KEY.  */
 void
 sfl_append (struct sfl_fleet *fleet, struct sfl_topic *topic, const char *key,
             const char *value)
@@ -110,6 +113,7 @@
     }
 }
 
+/* Returns the topic that the query of URL names.  */
 static struct sfl_topic *
 find_topic (struct sfl_fleet *fleet, const char *url)
 {
@@ -117,6 +121,8 @@
                                                 : &fleet->endpoint_topic;
 }
 
+/* Answers a read at once when records are there or the read doesn't wait, else
+   when a record arrives or the wait time has passed.  */
 static void
 read_topic (struct sfl_fleet *fleet, struct nsv_connection *connection,
             const char *url)
@@ -124,7 +130,7 @@
   struct sfl_topic *topic = find_topic (fleet, url);
   uint64_t from = msg_query_number (url, "From=");
   uint64_t wait_ms = msg_query_number (url, "WaitMs=");
-  if (from < topic->first)
+  if (from < topic->first_offset)
     {
       nsv_answer (connection, HTTP_STATUS_GONE, "", "{}", 2);
       return;
@@ -141,11 +147,12 @@
   reader->from = from;
   uv_timer_init (fleet->params.loop, &reader->timer);
   reader->timer.data = reader;
-  uv_timer_start (&reader->timer, on_wait_over, wait_ms, 0);
+  uv_timer_start (&reader->timer, on_wait_timeout, wait_ms, 0);
   g_ptr_array_add (fleet->readers, reader);
   nsv_bind (connection, reader);
 }
 
+/* Answers with the newest value of each key of a topic, as JSON.  */
 static void
 list_newest (struct sfl_fleet *fleet, struct nsv_connection *connection,
              const char *url)
@@ -162,8 +169,9 @@
       gsize bytes = 0;
       const guint8 *record = g_bytes_get_data (
           g_ptr_array_index (topic->records, offset), &bytes);
-      size_t skip = 1 + strlen (key);
-      char *encoded = g_base64_encode (record + skip, bytes - skip);
+      size_t value_start = 1 + strlen (key);
+      char *encoded
+          = g_base64_encode (record + value_start, bytes - value_start);
       json_array_append_new (
           items, json_pack ("{s:s,s:s,s:i}", "Key", (const char *)key, "Value",
                             encoded, "Offset", (int)offset));
@@ -192,7 +200,7 @@
     {
       if (g_str_has_prefix (url, "/api/log-join"))
         {
-          sfl_group_note (fleet, request);
+          sfl_group_join_unanswered (fleet, request);
         }
       nsv_abort (connection);
       return;
@@ -212,8 +220,8 @@
   else if (g_str_has_prefix (url, "/api/log-join")
            || g_str_has_prefix (url, "/api/log-leave"))
     {
-      sfl_group_call (fleet, connection, request,
-                      g_str_has_prefix (url, "/api/log-leave"));
+      sfl_group_serve (fleet, connection, request,
+                       g_str_has_prefix (url, "/api/log-leave"));
     }
   else
     {
@@ -239,7 +247,7 @@
   .drained = on_drained,
 };
 
-/* Opens the store of FLEET.  */
+/* Starts the store of FLEET with empty topics.  */
 void
 sfl_store_open (struct sfl_fleet *fleet)
 {
@@ -250,7 +258,7 @@
   fleet->store = sfl_listen (fleet, &events, fleet, &fleet->store_address);
 }
 
-/* Closes what sfl_store_open opened.  */
+/* Stops the store of FLEET and frees its topics and group.  */
 void
 sfl_store_close (struct sfl_fleet *fleet)
 {
@@ -262,8 +270,9 @@
   sfl_group_close (fleet);
 }
 
-/* Sets what the store does with calls from now on.  Reads that wait are cut,
-   or never answered.  */
+/* Sets how the store handles calls from now on.  Unless STATE is
+   SFL_STORE_SOUND, waiting reads are dropped: SFL_STORE_REFUSES closes their
+   connections, any other state leaves them open without an answer.  */
 void
 sfl_set_store (struct sfl_fleet *fleet, enum sfl_store_state state)
 {
@@ -281,10 +290,11 @@
     }
 }
 
-/* Drops the records of all topics; the newest of each key stays.  */
+/* Makes the records appended so far unreadable by offset, in all topics.  The
+   newest value of each key stays available.  */
 void
 sfl_forget_history (struct sfl_fleet *fleet)
 {
-  fleet->operator_topic.first = fleet->operator_topic.records->len;
-  fleet->endpoint_topic.first = fleet->endpoint_topic.records->len;
+  fleet->operator_topic.first_offset = fleet->operator_topic.records->len;
+  fleet->endpoint_topic.first_offset = fleet->endpoint_topic.records->len;
 }
