--- a/standin/host_list.c
+++ b/standin/host_list.c
@@ -12,8 +12,8 @@
   bool leaving;
 };
 
-/* The whole list as it was after one change. */
-struct edition
+/* The complete list after one change. */
+struct snapshot
 {
   int64_t version;
   int64_t changed_at_us;
@@ -25,7 +25,7 @@
   pthread_mutex_t lock;
   int64_t lag_us;
   GPtrArray *hosts; /* struct host */
-  GQueue editions;  /* struct edition *, newest first */
+  GQueue snapshots; /* struct snapshot *, newest first */
 };
 
 static void
@@ -39,16 +39,16 @@
 }
 
 static void
-free_edition (gpointer data)
+free_snapshot (gpointer data)
 {
-  struct edition *edition = data;
-  g_free (edition->hosts);
-  g_free (edition);
+  struct snapshot *snapshot = data;
+  g_free (snapshot->hosts);
+  g_free (snapshot);
 }
 
-/* Adds an edition with the hosts as they are.  */
+/* Adds a snapshot of the current hosts with the next version.  */
 static void
-publish (struct hl_list *list, int64_t now_us)
+add_snapshot (struct hl_list *list, int64_t now_us)
 {
   GString *out = g_string_new ("[");
   for (guint i = 0; i < list->hosts->len; i++)
@@ -62,15 +62,16 @@
           host->leaving ? "leaving" : "live", host->role);
     }
   g_string_append_c (out, ']');
-  const struct edition *newest = g_queue_peek_head (&list->editions);
-  struct edition *edition = g_new (struct edition, 1);
-  edition->version = newest == NULL ? 0 : newest->version + 1;
-  edition->changed_at_us = now_us;
-  edition->hosts = g_string_free (out, FALSE);
-  g_queue_push_head (&list->editions, edition);
+  const struct snapshot *newest = g_queue_peek_head (&list->snapshots);
+  struct snapshot *snapshot = g_new (struct snapshot, 1);
+  snapshot->version = newest == NULL ? 0 : newest->version + 1;
+  snapshot->changed_at_us = now_us;
+  snapshot->hosts = g_string_free (out, FALSE);
+  g_queue_push_head (&list->snapshots, snapshot);
 }
 
-/* Creates an empty list of version 0 that shows changes after LAG_US.  */
+/* Creates an empty list with version 0 whose changes become visible after
+   LAG_US.  */
 struct hl_list *
 hl_create (int64_t lag_us)
 {
@@ -78,8 +79,8 @@
   pthread_mutex_init (&list->lock, NULL);
   list->lag_us = lag_us;
   list->hosts = g_ptr_array_new_with_free_func (free_host);
-  g_queue_init (&list->editions);
-  publish (list, INT64_MIN / 2);
+  g_queue_init (&list->snapshots);
+  add_snapshot (list, INT64_MIN / 2);
   return list;
 }
 
@@ -88,12 +89,12 @@
 hl_destroy (struct hl_list *list)
 {
   g_ptr_array_free (list->hosts, TRUE);
-  g_queue_clear_full (&list->editions, free_edition);
+  g_queue_clear_full (&list->snapshots, free_snapshot);
   pthread_mutex_destroy (&list->lock);
   g_free (list);
 }
 
-/* Shows changes after LAG_US from now on.  */
+/* Sets the lag, also of changes that aren't visible yet, to LAG_US.  */
 void
 hl_set_lag (struct hl_list *list, int64_t lag_us)
 {
@@ -102,6 +103,7 @@
   pthread_mutex_unlock (&list->lock);
 }
 
+/* Returns the index of the host NAME, or -1.  */
 static int
 find_host (const struct hl_list *list, const char *name)
 {
@@ -117,46 +119,46 @@
 }
 
 static void
-replace_text (char **text, const char *by)
+replace_text (char **text, const char *value)
 {
-  if (by != NULL)
+  if (value != NULL)
     {
       g_free (*text);
-      *text = g_strdup (by);
+      *text = g_strdup (value);
     }
 }
 
-/* Adds or changes HOST at NOW_US.  Its texts need no escapes in JSON.  Returns
-   the version of the list that shows the change.  */
+/* Adds or changes HOST at NOW_US.  The texts of HOST must not need escapes in
+   JSON.  Returns the first version of the list that contains the change.  */
 int64_t
 hl_put (struct hl_list *list, const struct hl_host *host, int64_t now_us)
 {
   pthread_mutex_lock (&list->lock);
   int index = find_host (list, host->name);
-  struct host *kept;
+  struct host *entry;
   if (index >= 0)
     {
-      kept = g_ptr_array_index (list->hosts, index);
+      entry = g_ptr_array_index (list->hosts, index);
     }
   else
     {
-      kept = g_new0 (struct host, 1);
-      kept->name = g_strdup (host->name);
-      kept->address = g_strdup ("");
-      kept->role = g_strdup ("engine");
-      g_ptr_array_add (list->hosts, kept);
+      entry = g_new0 (struct host, 1);
+      entry->name = g_strdup (host->name);
+      entry->address = g_strdup ("");
+      entry->role = g_strdup ("engine");
+      g_ptr_array_add (list->hosts, entry);
     }
-  replace_text (&kept->address, host->address);
-  replace_text (&kept->role, host->role);
-  kept->leaving = host->leaving;
-  publish (list, now_us);
-  const struct edition *newest = g_queue_peek_head (&list->editions);
+  replace_text (&entry->address, host->address);
+  replace_text (&entry->role, host->role);
+  entry->leaving = host->leaving;
+  add_snapshot (list, now_us);
+  const struct snapshot *newest = g_queue_peek_head (&list->snapshots);
   int64_t version = newest->version;
   pthread_mutex_unlock (&list->lock);
   return version;
 }
 
-/* Removes the host NAME at NOW_US, if it is listed.  */
+/* Removes the host NAME at NOW_US.  Does nothing when NAME isn't listed.  */
 void
 hl_remove (struct hl_list *list, const char *name, int64_t now_us)
 {
@@ -165,30 +167,30 @@
   if (index >= 0)
     {
       g_ptr_array_remove_index (list->hosts, (guint)index);
-      publish (list, now_us);
+      add_snapshot (list, now_us);
     }
   pthread_mutex_unlock (&list->lock);
 }
 
-/* Appends the list as it shows at NOW_US to OUT, unless its version is
-   KNOWN_VERSION.  Returns its version.  */
+/* Appends the newest snapshot that is visible at NOW_US to OUT as JSON, unless
+   its version is KNOWN_VERSION.  Returns the version of that snapshot.  */
 int64_t
 hl_render (struct hl_list *list, int64_t known_version, int64_t now_us,
            GString *out)
 {
   pthread_mutex_lock (&list->lock);
-  GList *link = list->editions.head;
-  const struct edition *shown = link->data;
-  while (shown->changed_at_us + list->lag_us > now_us && link->next != NULL)
+  GList *link = list->snapshots.head;
+  const struct snapshot *visible = link->data;
+  while (visible->changed_at_us + list->lag_us > now_us && link->next != NULL)
     {
       link = link->next;
-      shown = link->data;
+      visible = link->data;
     }
-  int64_t version = shown->version;
+  int64_t version = visible->version;
   if (version != known_version)
     {
       g_string_append_printf (out, "{\"version\":%" PRId64 ",\"hosts\":%s}",
-                              version, shown->hosts);
+                              version, visible->hosts);
     }
   pthread_mutex_unlock (&list->lock);
   return version;
--- a/standin/host_list.h
+++ b/standin/host_list.h
@@ -1,4 +1,5 @@
-/* The lagging host list of the platform stand-in. */
+/* The host list of the simulated platform.  Each change becomes visible to
+   readers only after a configurable lag.  Thread-safe. */
 #ifndef STANDIN_HOST_LIST_H
 #define STANDIN_HOST_LIST_H
 
@@ -8,11 +9,12 @@
 
 struct hl_list;
 
+/* A host to add or change. */
 struct hl_host
 {
   const char *name;
-  const char *address; /* NULL: unchanged */
-  const char *role;    /* NULL: unchanged */
+  const char *address; /* NULL: unchanged; empty for a new host */
+  const char *role;    /* NULL: unchanged; `engine' for a new host */
   bool leaving;
 };
 
--- a/standin/http_server.c
+++ b/standin/http_server.c
@@ -14,9 +14,9 @@
 #include <time.h>
 #include <unistd.h>
 
-#define STACK_BYTES 262144
+#define STACK_BYTES 262144 /* of each CivetWeb thread */
 #define BODY_BYTES_MAX 16777216
-#define SILENCE_S 120
+#define SILENT_HOLD_S 120
 #define WAKE_INTERVAL_US 5000
 
 struct hs_server
@@ -26,16 +26,16 @@
   void *user;
   uint16_t port;
   _Atomic uint64_t next_connection;
-  _Atomic uint64_t silent_below; /* older connections get no answer */
+  _Atomic uint64_t silent_below; /* lower-numbered connections get no answer */
   _Atomic bool stopping;
   _Atomic bool stopped_listening;
   pthread_mutex_t lock;
   pthread_cond_t stopped;
 };
 
-/* Called by CivetWeb for each new connection: numbers it.  */
+/* CivetWeb callback: assigns consecutive numbers to new connections.  */
 static int
-open_connection (const struct mg_connection *conn, void **data)
+number_connection (const struct mg_connection *conn, void **data)
 {
   struct hs_server *server = mg_get_user_data (mg_get_context (conn));
   uint64_t number = atomic_fetch_add (&server->next_connection, 1);
@@ -43,7 +43,7 @@
   return 0;
 }
 
-/* Returns true when nothing may be answered on CONN any more.  */
+/* Returns true when CONN was made unresponsive by hs_silence_connections.  */
 static bool
 is_silent (const struct hs_server *server, const struct mg_connection *conn)
 {
@@ -51,26 +51,27 @@
   return number < atomic_load (&server->silent_below);
 }
 
-/* Keeps the calling thread, and with it the connection, until SERVER stops or
-   SILENCE_S have passed.  */
+/* Blocks the calling thread, and so keeps its connection open, until SERVER
+   stops or SILENT_HOLD_S seconds have passed.  */
 static void
 hold_connection (struct hs_server *server)
 {
   struct timespec until;
   clock_gettime (CLOCK_REALTIME, &until);
-  until.tv_sec += SILENCE_S;
-  int waited = 0;
+  until.tv_sec += SILENT_HOLD_S;
+  int wait_result = 0;
   pthread_mutex_lock (&server->lock);
-  while (!atomic_load (&server->stopping) && waited == 0)
+  while (!atomic_load (&server->stopping) && wait_result == 0)
     {
-      waited
+      wait_result
           = pthread_cond_timedwait (&server->stopped, &server->lock, &until);
     }
   pthread_mutex_unlock (&server->lock);
 }
 
-/* Reads the body of the request on CONN.  Returns NULL when it is too large or
-   cut short.  */
+/* Reads the body of the request on CONN and sets BYTES to its length.  Returns
+   the body, allocated and terminated by a zero byte, or NULL when the body is
+   larger than BODY_BYTES_MAX or incomplete.  */
 static char *
 read_body (struct mg_connection *conn, size_t *bytes)
 {
@@ -99,7 +100,7 @@
   return body;
 }
 
-/* Sends ANSWER with one write.  */
+/* Sends ANSWER with a single write.  */
 static void
 send_answer (struct mg_connection *conn, const struct hs_answer *answer)
 {
@@ -121,7 +122,8 @@
   g_string_free (out, TRUE);
 }
 
-/* Hands one request to the handler of SERVER and answers it.  */
+/* Passes a request to the handler of SERVER and sends the answer.  Returns the
+   status of the answer.  */
 static int
 serve (struct hs_server *server, struct mg_connection *conn, const char *body,
        size_t body_bytes)
@@ -155,7 +157,7 @@
   return answer.status;
 }
 
-/* Called by CivetWeb for each request.  */
+/* CivetWeb callback: handles a request and returns the status.  */
 static int
 begin_request (struct mg_connection *conn)
 {
@@ -182,7 +184,7 @@
   return status;
 }
 
-/* Drops the messages of CivetWeb.  */
+/* CivetWeb callback: discards log messages.  */
 static int
 drop_message (const struct mg_connection *conn, const char *message)
 {
@@ -191,7 +193,7 @@
   return 1;
 }
 
-/* Sets the stack size of the threads that CivetWeb will start.  */
+/* Sets the default stack size of threads, which CivetWeb uses for its own.  */
 static void
 set_thread_stacks (void)
 {
@@ -202,7 +204,8 @@
   pthread_attr_destroy (&attributes);
 }
 
-/* Starts a server on loopback as OPTIONS say.  Fails with ERR_SETTINGS.  */
+/* Starts a server with OPTIONS on the loopback address.  Returns NULL and sets
+   ERROR to ERR_SETTINGS when the server can't listen.  */
 struct hs_server *
 hs_create (const struct hs_options *options, GError **error)
 {
@@ -236,7 +239,7 @@
   };
   const struct mg_callbacks callbacks = {
     .begin_request = begin_request,
-    .init_connection = open_connection,
+    .init_connection = number_connection,
     .log_message = drop_message,
   };
   set_thread_stacks ();
@@ -254,8 +257,9 @@
   return server;
 }
 
-/* Connects to SERVER again and again until it has stopped.  CivetWeb looks for
-   the stop only when its listener wakes, which may take two seconds.  */
+/* Connects to SERVER repeatedly until SERVER has stopped listening.  CivetWeb
+   checks for a stop only when its listener wakes, which may take two seconds
+   without connections.  */
 static void *
 wake_listener (void *data)
 {
@@ -279,7 +283,8 @@
   return NULL;
 }
 
-/* Stops the context of SERVER.  */
+/* Stops CivetWeb's context of SERVER and wakes the listener so that the stop
+   doesn't wait for CivetWeb's poll interval.  */
 static void
 stop_context (struct hs_server *server)
 {
@@ -293,8 +298,8 @@
     }
 }
 
-/* Stops SERVER and frees it; NULL is allowed.  A handler that waits must have
-   been told to return.  */
+/* Stops SERVER and frees it; NULL is allowed.  The caller must make blocked
+   handlers return first.  */
 void
 hs_destroy (struct hs_server *server)
 {
@@ -322,15 +327,16 @@
   return server->port;
 }
 
-/* Lets every connection open at this time accept what is sent and never answer
-   again.  New connections work.  */
+/* Makes all connections that are open now unresponsive: they accept data and
+   never answer.  New connections aren't affected.  */
 void
 hs_silence_connections (struct hs_server *server)
 {
   atomic_store (&server->silent_below, atomic_load (&server->next_connection));
 }
 
-/* Returns the number NAME of the query of REQUEST, or MISSING.  */
+/* Returns the number that the query of REQUEST has for NAME, or MISSING when
+   the query has no such parameter.  */
 int64_t
 hs_query_number (const struct hs_request *request, const char *name,
                  int64_t missing)
@@ -345,7 +351,8 @@
   return strtoll (value, NULL, 10);
 }
 
-/* Fills ANSWER with an error body.  KIND and MESSAGE need no escapes.  */
+/* Fills ANSWER with STATUS and a JSON error body.  KIND and MESSAGE must not
+   need escapes in JSON.  */
 void
 hs_fail (struct hs_answer *answer, int status, const char *kind,
          const char *message)
--- a/standin/http_server.h
+++ b/standin/http_server.h
@@ -1,4 +1,6 @@
-/* The HTTP server of the stand-ins, with faults of its connections. */
+/* The HTTP server that the simulated systems share, a wrapper around CivetWeb.
+   Can drop answers and make open connections unresponsive.  The handler runs
+   on several threads at once, one for each open connection. */
 #ifndef STANDIN_HTTP_SERVER_H
 #define STANDIN_HTTP_SERVER_H
 
@@ -19,22 +21,25 @@
   const char *request_id; /* X-Request-Id, or "" */
 };
 
+/* Filled in by the handler; initially status 200 with an empty body. */
 struct hs_answer
 {
   int status;
   GString *body;
-  const char *header; /* one more header line without its end, or NULL */
-  bool lost;          /* the connection closes without an answer */
-  bool control;       /* of a fault order: answered on silent connections */
+  const char *header; /* additional header line without line end, or NULL */
+  bool lost;          /* closes the connection without an answer */
+  bool control;       /* answer to a fault request: also sent on a connection
+                         that became silent during the request */
 };
 
+/* Fills ANSWER to REQUEST.  USER is the one of the options. */
 typedef void (*hs_handler) (void *user, const struct hs_request *request,
                             struct hs_answer *answer);
 
 struct hs_options
 {
   uint16_t port;        /* 0: chosen by the kernel */
-  uint32_t connections; /* open at one time */
+  uint32_t connections; /* open at the same time, a thread for each */
   hs_handler handler;
   void *user;
 };
