--- a/standin/log_store.c
+++ b/standin/log_store.c
@@ -7,12 +7,14 @@
 #include <string.h>
 #include <time.h>
 
-#define BURST_PER_S 10 /* the burst is one tenth of a second's appends */
-#define WAIT_SLICE_US (100 * CLK_MS_US)
+/* A burst may have a tenth of a second's appends, plus one. */
+#define BURST_DIVISOR 10
+
+#define WAIT_SLICE_US (100 * CLK_MS_US) /* longest single wait of a reader */
 
 struct record
 {
-  int64_t time_us;        /* told to readers */
+  int64_t time_us;        /* wall clock, returned to readers */
   int64_t appended_at_us; /* monotonic */
   char *base64;
 };
@@ -20,7 +22,7 @@
 struct stream
 {
   GQueue records; /* struct record *, oldest first */
-  int64_t first;  /* offset of the oldest record kept */
+  int64_t first;  /* offset of the oldest record that isn't expired */
 };
 
 struct ls_store
@@ -30,9 +32,9 @@
   GHashTable *streams; /* name to struct stream */
   uint32_t appends_per_s;
   int64_t retention_us;
-  double allowance; /* appends */
-  int64_t allowance_at_us;
-  int64_t down_until_us;
+  double allowance;        /* token bucket: appends allowed now */
+  int64_t allowance_at_us; /* monotonic time of the last refill */
+  int64_t down_until_us;   /* monotonic end of the outage */
   bool stopping;
 };
 
@@ -52,8 +54,8 @@
   g_free (stream);
 }
 
-/* Creates an empty log that takes APPENDS_PER_S and keeps records for
-   RETENTION_US.  */
+/* Creates an empty log that accepts APPENDS_PER_S on average and expires
+   records after RETENTION_US.  */
 struct ls_store *
 ls_create (uint32_t appends_per_s, int64_t retention_us)
 {
@@ -67,7 +69,7 @@
   return store;
 }
 
-/* Frees STORE.  Nobody may be reading.  */
+/* Frees STORE.  No other call on STORE may be running.  */
 void
 ls_destroy (struct ls_store *store)
 {
@@ -77,7 +79,7 @@
   g_free (store);
 }
 
-/* Makes every waiting reader return.  */
+/* Makes all waiting reads return; later reads don't wait.  */
 void
 ls_stop (struct ls_store *store)
 {
@@ -87,7 +89,7 @@
   pthread_mutex_unlock (&store->lock);
 }
 
-/* Lets STORE fail every call until the monotonic time UNTIL_US.  */
+/* Makes every append and read fail until the monotonic time UNTIL_US.  */
 void
 ls_set_down_until (struct ls_store *store, int64_t until_us)
 {
@@ -97,14 +99,15 @@
   pthread_mutex_unlock (&store->lock);
 }
 
-/* Takes one append from the allowance.  */
+/* Refills the token bucket and takes one append from it.  Returns false when
+   the append exceeds the rate limit.  */
 static bool
 allow_append (struct ls_store *store, int64_t now_us)
 {
-  double burst = (double)store->appends_per_s / BURST_PER_S + 1;
-  double earned = (double)(now_us - store->allowance_at_us)
+  double burst = (double)store->appends_per_s / BURST_DIVISOR + 1;
+  double refill = (double)(now_us - store->allowance_at_us)
                   * store->appends_per_s / CLK_S_US;
-  store->allowance = MIN (store->allowance + earned, burst);
+  store->allowance = MIN (store->allowance + refill, burst);
   store->allowance_at_us = now_us;
   if (store->allowance < 1)
     {
@@ -114,9 +117,10 @@
   return true;
 }
 
-/* Drops the records of STREAM that are too old.  */
+/* Removes the records of STREAM that are older than the retention time.  */
 static void
-expire (const struct ls_store *store, struct stream *stream, int64_t now_us)
+expire_records (const struct ls_store *store, struct stream *stream,
+                int64_t now_us)
 {
   struct record *oldest;
   while ((oldest = g_queue_peek_head (&stream->records)) != NULL
@@ -133,8 +137,10 @@
   return stream->first + stream->records.length;
 }
 
-/* Appends RECORD (base64) to the stream NAME and sets *OFFSET.  Returns
-   ERR_LOG_UNAVAILABLE or ERR_RATE_LIMITED when nothing was appended.  */
+/* Appends RECORD, in base64, to the stream NAME and sets *OFFSET to its
+   offset.  The first append to a stream creates the stream.  Returns ERR_NONE,
+   or, without an append, ERR_LOG_UNAVAILABLE during an outage or
+   ERR_RATE_LIMITED above the append rate.  */
 enum err_kind
 ls_append (struct ls_store *store, const char *name, const char *record,
            int64_t *offset)
@@ -158,21 +164,22 @@
           stream = g_new0 (struct stream, 1);
           g_hash_table_insert (store->streams, g_strdup (name), stream);
         }
-      struct record *kept = g_new (struct record, 1);
-      kept->time_us = clk_real_us ();
-      kept->appended_at_us = now_us;
-      kept->base64 = g_strdup (record);
+      struct record *appended = g_new (struct record, 1);
+      appended->time_us = clk_real_us ();
+      appended->appended_at_us = now_us;
+      appended->base64 = g_strdup (record);
       *offset = next_offset (stream);
-      g_queue_push_tail (&stream->records, kept);
+      g_queue_push_tail (&stream->records, appended);
       pthread_cond_broadcast (&store->changed);
     }
   pthread_mutex_unlock (&store->lock);
   return kind;
 }
 
-/* Waits for a change, for at most WAIT_SLICE_US.  The lock is held.  */
+/* Waits for a change of STORE for at most WAIT_SLICE_US.  The caller holds the
+   lock.  */
 static void
-wait_change (struct ls_store *store)
+wait_for_change (struct ls_store *store)
 {
   struct timespec until;
   clock_gettime (CLOCK_REALTIME, &until);
@@ -182,7 +189,8 @@
   pthread_cond_timedwait (&store->changed, &store->lock, &until);
 }
 
-/* Appends the records of STREAM from FROM on, at most MAX, to OUT.  */
+/* Appends up to MAX records of STREAM from offset FROM on to OUT as JSON, with
+   the first and the next offset of STREAM.  A NULL STREAM is empty.  */
 static void
 render_records (const struct stream *stream, int64_t from, int64_t max,
                 GString *out)
@@ -213,9 +221,9 @@
   g_string_append (out, "]}");
 }
 
-/* Appends the records of stream NAME from offset FROM on, at most MAX, to OUT;
-   waits up to WAIT_US for one at FROM.  Returns ERR_LOG_UNAVAILABLE during an
-   outage.  */
+/* Appends up to MAX records of the stream NAME from offset FROM on to OUT as
+   JSON.  Waits up to WAIT_US for a record at FROM or later.  Returns ERR_NONE,
+   or ERR_LOG_UNAVAILABLE during an outage.  */
 enum err_kind
 ls_read (struct ls_store *store, const char *name, int64_t from, int64_t max,
          int64_t wait_us, GString *out)
@@ -234,7 +242,7 @@
       struct stream *stream = g_hash_table_lookup (store->streams, name);
       if (stream != NULL)
         {
-          expire (store, stream, now_us);
+          expire_records (store, stream, now_us);
         }
       bool ready = stream != NULL && from < next_offset (stream);
       if (ready || now_us >= end_us || store->stopping)
@@ -242,7 +250,7 @@
           render_records (stream, from, max, out);
           break;
         }
-      wait_change (store);
+      wait_for_change (store);
     }
   pthread_mutex_unlock (&store->lock);
   return kind;
--- a/standin/log_store.h
+++ b/standin/log_store.h
@@ -1,4 +1,6 @@
-/* The append-only log of the platform stand-in. */
+/* The append-only log of the simulated platform: named streams of records with
+   offsets, a limit on the append rate, expiry and injected outages.
+   Thread-safe. */
 #ifndef STANDIN_LOG_STORE_H
 #define STANDIN_LOG_STORE_H
 
--- a/standin/model.c
+++ b/standin/model.c
@@ -5,8 +5,9 @@
 
 #define SYLLABLES 32
 #define SYLLABLE_BITS 5
-#define VOCABULARY 32768 /* words of three syllables */
-#define END_ONE_IN 1024  /* chance that a token ends the answer */
+#define VOCABULARY 32768 /* tokens, each a word of three syllables */
+/* On average one of this many tokens ends the answer. */
+#define END_ONE_IN 1024
 
 static const char *const syllables[SYLLABLES] = {
   "ba", "be", "bi", "bo", "da", "de", "di", "do", "ka", "ke", "ki",
@@ -14,7 +15,7 @@
   "ni", "no", "ra", "re", "ri", "ro", "sa", "se", "si", "so",
 };
 
-/* Combines A and B into one well-spread value; the order matters.  */
+/* Hashes A and B into one value.  Not symmetric in A and B.  */
 static uint64_t
 mix (uint64_t a, uint64_t b)
 {
@@ -26,7 +27,8 @@
   return x ^ x >> 31;
 }
 
-/* Returns the number of positions of a prompt of PROMPT_BYTES; at least 1.  */
+/* Returns the number of positions of a prompt of PROMPT_BYTES bytes, which is
+   at least 1.  */
 uint32_t
 md_prompt_positions (size_t prompt_bytes)
 {
@@ -35,7 +37,8 @@
   return positions == 0 ? 1 : (uint32_t)positions;
 }
 
-/* Writes the tokens of PROMPT, one for each position, to TOKENS.  */
+/* Writes the tokens of PROMPT to TOKENS, one for each of its
+   md_prompt_positions.  */
 void
 md_prompt_tokens (const char *prompt, size_t prompt_bytes, uint32_t *tokens)
 {
@@ -51,22 +54,23 @@
     }
 }
 
-/* Returns the hidden value with which TOKEN at POSITION enters layer 0.  */
+/* Returns the hidden value that layer 0 gets as input for TOKEN at POSITION.
+ */
 uint64_t
 md_embed (uint32_t token, uint32_t position)
 {
   return mix (token, position);
 }
 
-/* Returns the state of LAYER of MODEL before the first position.  */
+/* Returns the KV state of LAYER of MODEL before the first position.  */
 uint64_t
 md_initial_kv (const char *model, uint32_t layer)
 {
   return mix (XXH64 (model, strlen (model), 0), layer);
 }
 
-/* Runs one position through LAYER: updates KV and returns the hidden value for
-   the next layer.  */
+/* Runs one position through LAYER.  Updates the layer's state KV and returns
+   the hidden value for the next layer.  */
 uint64_t
 md_run_layer (uint64_t *kv, uint64_t hidden, uint32_t layer)
 {
@@ -74,7 +78,7 @@
   return mix (hidden, *kv + layer);
 }
 
-/* Turns HIDDEN, as the last layer left it, into the next token.  */
+/* Decodes HIDDEN, the output of the last layer, into the next token.  */
 void
 md_decode (uint64_t hidden, struct md_output *output)
 {
@@ -96,7 +100,8 @@
   memcpy (at, " ", 2);
 }
 
-/* Runs one position through every layer and returns the last hidden value.  */
+/* Runs one position through all layers and returns the output of the last
+   layer.  */
 static uint64_t
 run_position (uint64_t *kv, uint32_t layers, uint32_t token, uint32_t position)
 {
@@ -108,8 +113,9 @@
   return hidden;
 }
 
-/* Appends the whole answer of MODEL to PROMPT to OUT, at most MAX_TOKENS
-   tokens.  Returns the number of tokens with text.  */
+/* Computes the answer of MODEL with LAYERS layers to PROMPT, at most
+   MAX_TOKENS tokens, and appends its text to OUT.  Returns the number of
+   tokens without the one that ends the answer.  */
 uint32_t
 md_answer (const char *model, uint32_t layers, const char *prompt,
            uint32_t max_tokens, GString *out)
--- a/standin/model.h
+++ b/standin/model.h
@@ -1,5 +1,6 @@
-/* The model of the stand-ins: a deterministic function over layers, positions
-   and the stream's own state, shared by the engines and the checker. */
+/* The model that the simulated engines run.  Each token is a deterministic
+   function of the layers, the positions and the stream's state, so that a
+   checker can compute the expected answer. */
 #ifndef STANDIN_MODEL_H
 #define STANDIN_MODEL_H
 
@@ -9,14 +10,15 @@
 #include <stdint.h>
 
 #define MD_PROMPT_BYTES_PER_POSITION 4
-#define MD_ACTIVATION_HEX 16 /* digits for each position */
-#define MD_WORD_BYTES 16
+#define MD_ACTIVATION_HEX 16 /* hex digits of an activation per position */
+#define MD_WORD_BYTES 16     /* buffer size */
 
+/* A decoded token. */
 struct md_output
 {
   uint32_t token;
-  bool end;
-  char text[MD_WORD_BYTES]; /* a word and a space; empty at the end */
+  bool end;                 /* the token ends the answer */
+  char text[MD_WORD_BYTES]; /* a word and a space; empty when END is set */
 };
 
 uint32_t md_prompt_positions (size_t prompt_bytes);
--- a/standin/model_main.c
+++ b/standin/model_main.c
@@ -3,7 +3,8 @@
 #include <argtable2.h>
 #include <stdio.h>
 
-/* Prints the model's whole answer to a prompt.  */
+/* Prints the answer of the model to a prompt, as the simulated engines
+   generate it.  */
 int
 main (int argc, char **argv)
 {
--- a/standin/peer_net.c
+++ b/standin/peer_net.c
@@ -2,42 +2,44 @@
 
 #include <string.h>
 
-#define RING_STEPS 256
-#define FRAME_HEAD_BYTES 4
+/* Must exceed the latency in steps of PN_STEP_US. */
+#define RING_SLOTS 256
+#define FRAME_HEADER_BYTES 4 /* the length field before each message */
 
-/* A message on its way. */
+/* A message in transit. */
 struct packet
 {
-  uint32_t from;
-  uint32_t to;
+  uint32_t sender;
+  uint32_t receiver;
   size_t size;
   uint8_t *bytes;
 };
 
-struct machine
+/* A simulated daemon. */
+struct peer
 {
   char *name;
   char *address;
   struct mem_fleet *fleet; /* NULL: not running */
   bool paused;
-  uint64_t starts;
-  int64_t due_us;
+  uint64_t start_count;
+  int64_t next_tick_us;
   struct pn_usage usage;
-  GPtrArray *held; /* packets that came while paused */
+  GPtrArray *queued; /* packets that arrived while the peer was paused */
 };
 
 struct pn_net
 {
-  struct machine *machines;
+  struct peer *peers;
   uint32_t count;
   GRand *random;
   int64_t now_us;
   int64_t latency_us;
   uint32_t loss_per_mille;
-  uint32_t candidates;
-  bool *cuts; /* from * count + to */
-  GPtrArray *ring[RING_STEPS];
-  GHashTable *by_address; /* address to index + 1 */
+  uint32_t candidates;          /* addresses that a starting peer knows */
+  bool *blocked;                /* sender * count + receiver */
+  GPtrArray *ring[RING_SLOTS];  /* packets by the step of their delivery */
+  GHashTable *index_by_address; /* address to index + 1 */
   pn_action_fn on_action;
   void *user_data;
 };
@@ -50,60 +52,60 @@
   g_free (packet);
 }
 
-/* Creates a network of MACHINES daemons, none of them running; they know the
-   addresses of all as candidates.  */
+/* Creates a network of PEERS peers, none of which is running.  A peer that
+   starts knows the addresses of all peers.  */
 struct pn_net *
-pn_create (uint32_t machines, uint32_t seed)
+pn_create (uint32_t peers, uint32_t seed)
 {
   struct pn_net *net = g_new0 (struct pn_net, 1);
-  net->machines = g_new0 (struct machine, machines);
-  net->count = machines;
-  net->candidates = machines;
+  net->peers = g_new0 (struct peer, peers);
+  net->count = peers;
+  net->candidates = peers;
   net->random = g_rand_new_with_seed (seed);
   net->latency_us = PN_STEP_US;
-  net->cuts = g_new0 (bool, (size_t)machines *machines);
-  net->by_address = g_hash_table_new (g_str_hash, g_str_equal);
-  for (int i = 0; i < RING_STEPS; i++)
+  net->blocked = g_new0 (bool, (size_t)peers *peers);
+  net->index_by_address = g_hash_table_new (g_str_hash, g_str_equal);
+  for (int i = 0; i < RING_SLOTS; i++)
     {
       net->ring[i] = g_ptr_array_new_with_free_func (destroy_packet);
     }
-  for (uint32_t i = 0; i < machines; i++)
+  for (uint32_t i = 0; i < peers; i++)
     {
-      struct machine *machine = &net->machines[i];
-      machine->name = g_strdup_printf ("entry-%03u", i);
-      machine->address
+      struct peer *peer = &net->peers[i];
+      peer->name = g_strdup_printf ("entry-%03u", i);
+      peer->address
           = g_strdup_printf ("10.20.%u.%u:7000", i / 250, i % 250 + 1);
-      machine->held = g_ptr_array_new_with_free_func (destroy_packet);
-      g_hash_table_insert (net->by_address, machine->address,
+      peer->queued = g_ptr_array_new_with_free_func (destroy_packet);
+      g_hash_table_insert (net->index_by_address, peer->address,
                            GUINT_TO_POINTER (i + 1));
     }
   return net;
 }
 
-/* Frees NET and its machines.  */
+/* Frees NET and its peers.  */
 void
 pn_destroy (struct pn_net *net)
 {
   for (uint32_t i = 0; i < net->count; i++)
     {
-      struct machine *machine = &net->machines[i];
-      mem_destroy (machine->fleet);
-      g_free (machine->name);
-      g_free (machine->address);
-      g_ptr_array_free (machine->held, TRUE);
+      struct peer *peer = &net->peers[i];
+      mem_destroy (peer->fleet);
+      g_free (peer->name);
+      g_free (peer->address);
+      g_ptr_array_free (peer->queued, TRUE);
     }
-  for (int i = 0; i < RING_STEPS; i++)
+  for (int i = 0; i < RING_SLOTS; i++)
     {
       g_ptr_array_free (net->ring[i], TRUE);
     }
-  g_hash_table_destroy (net->by_address);
+  g_hash_table_destroy (net->index_by_address);
   g_rand_free (net->random);
-  g_free (net->cuts);
-  g_free (net->machines);
+  g_free (net->blocked);
+  g_free (net->peers);
   g_free (net);
 }
 
-/* Has FUNCTION called for what the machines decide.  */
+/* Sets the FUNCTION that is called with the actions of all peers.  */
 void
 pn_on_action (struct pn_net *net, pn_action_fn function, void *user_data)
 {
@@ -111,36 +113,39 @@
   net->user_data = user_data;
 }
 
-/* Sets the one-way delay of every message.  */
+/* Sets the one-way latency of messages sent from now on.  Latencies are
+   rounded down to steps of PN_STEP_US, with a minimum of one step.  */
 void
 pn_set_latency (struct pn_net *net, int64_t latency_us)
 {
   net->latency_us = latency_us;
 }
 
-/* Sets how many messages of a thousand are lost.  */
+/* Sets how many of a thousand messages are lost on average.  */
 void
 pn_set_loss (struct pn_net *net, uint32_t per_mille)
 {
   net->loss_per_mille = per_mille;
 }
 
-/* Lets machines started from now on know the first FIRST_MACHINES only.  */
+/* Makes peers started from now on know the addresses of the first PEER_COUNT
+   peers only.  */
 void
-pn_set_candidates (struct pn_net *net, uint32_t first_machines)
+pn_set_candidates (struct pn_net *net, uint32_t peer_count)
 {
-  net->candidates = first_machines;
+  net->candidates = peer_count;
 }
 
-/* Cuts, or mends, the way from one machine to another; not the way back.  */
+/* Blocks messages sent from now on from SENDER to RECEIVER when CUT is true,
+   else unblocks them.  The opposite direction isn't affected.  */
 void
-pn_cut (struct pn_net *net, uint32_t from, uint32_t to, bool cut)
+pn_cut (struct pn_net *net, uint32_t sender, uint32_t receiver, bool cut)
 {
-  net->cuts[(size_t)from * net->count + to] = cut;
+  net->blocked[(size_t)sender * net->count + receiver] = cut;
 }
 
-/* Cuts, or mends, all ways between the machines below FIRST_OF_SECOND and the
-   others.  */
+/* Blocks, or unblocks when CUT is false, all messages between the peers below
+   the index FIRST_OF_SECOND and the other peers.  */
 void
 pn_cut_groups (struct pn_net *net, uint32_t first_of_second, bool cut)
 {
@@ -154,32 +159,32 @@
     }
 }
 
-/* Starts MACHINE as a new process that knows nothing.  */
+/* Starts the peer INDEX with a new incarnation and an empty member list.  */
 void
 pn_start (struct pn_net *net, uint32_t index)
 {
-  struct machine *machine = &net->machines[index];
-  machine->starts++;
+  struct peer *peer = &net->peers[index];
+  peer->start_count++;
   const struct mem_settings settings = {
-    .name = machine->name,
-    .address = machine->address,
+    .name = peer->name,
+    .address = peer->address,
     .data_centre = "dc-a",
-    .incarnation = (uint64_t)net->now_us + machine->starts,
+    .incarnation = (uint64_t)net->now_us + peer->start_count,
     .seed = g_rand_int (net->random),
   };
-  machine->fleet = mem_create (&settings, net->now_us);
-  machine->paused = false;
-  machine->due_us = net->now_us;
+  peer->fleet = mem_create (&settings, net->now_us);
+  peer->paused = false;
+  peer->next_tick_us = net->now_us;
   const char **addresses = g_new0 (const char *, net->candidates + 1);
   for (uint32_t i = 0; i < net->candidates; i++)
     {
-      addresses[i] = net->machines[i].address;
+      addresses[i] = net->peers[i].address;
     }
-  mem_set_candidates (machine->fleet, addresses);
+  mem_set_candidates (peer->fleet, addresses);
   g_free (addresses);
 }
 
-/* Starts every machine.  */
+/* Starts all peers.  */
 void
 pn_start_all (struct pn_net *net)
 {
@@ -189,54 +194,60 @@
     }
 }
 
-/* Ends MACHINE's process without a word.  */
+/* Kills the peer INDEX without a message to other peers.  */
 void
 pn_kill (struct pn_net *net, uint32_t index)
 {
-  mem_destroy (net->machines[index].fleet);
-  net->machines[index].fleet = NULL;
-  g_ptr_array_set_size (net->machines[index].held, 0);
+  mem_destroy (net->peers[index].fleet);
+  net->peers[index].fleet = NULL;
+  g_ptr_array_set_size (net->peers[index].queued, 0);
 }
 
-/* Freezes MACHINE, or lets it go on; what came meanwhile comes then.  */
+/* Pauses the peer INDEX, or resumes it.  Messages that arrive during the pause
+   are delivered after it.  */
 void
 pn_pause (struct pn_net *net, uint32_t index, bool paused)
 {
-  net->machines[index].paused = paused;
+  net->peers[index].paused = paused;
 }
 
+/* Puts the message of ACTION into the delivery ring, unless the message is
+   blocked or lost.  */
 static void
-send_packet (struct pn_net *net, uint32_t from, struct mem_action *action)
+send_packet (struct pn_net *net, uint32_t sender, struct mem_action *action)
 {
   Peer__Envelope envelope = PEER__ENVELOPE__INIT;
   envelope.body_case = PEER__ENVELOPE__BODY_MEMBERSHIP;
   envelope.membership = action->message;
   const size_t size = peer__envelope__get_packed_size (&envelope);
-  net->machines[from].usage.messages += 1;
-  net->machines[from].usage.bytes += size + FRAME_HEAD_BYTES;
-  const uint32_t to = GPOINTER_TO_UINT (
-      g_hash_table_lookup (net->by_address, action->address));
-  if (to == 0 || net->cuts[(size_t)from * net->count + to - 1]
+  net->peers[sender].usage.messages += 1;
+  net->peers[sender].usage.bytes += size + FRAME_HEADER_BYTES;
+  const uint32_t receiver = GPOINTER_TO_UINT (
+      g_hash_table_lookup (net->index_by_address, action->address));
+  if (receiver == 0 || net->blocked[(size_t)sender * net->count + receiver - 1]
       || (uint32_t)g_rand_int_range (net->random, 0, 1000)
              < net->loss_per_mille)
     {
       return;
     }
   struct packet *packet = g_new (struct packet, 1);
-  *packet = (struct packet){
-    .from = from, .to = to - 1, .size = size, .bytes = g_malloc (size)
-  };
+  *packet = (struct packet){ .sender = sender,
+                             .receiver = receiver - 1,
+                             .size = size,
+                             .bytes = g_malloc (size) };
   peer__envelope__pack (&envelope, packet->bytes);
   const int64_t steps = MAX (net->latency_us / PN_STEP_US, 1);
   const int64_t step = net->now_us / PN_STEP_US + steps;
-  g_ptr_array_add (net->ring[step % RING_STEPS], packet);
+  g_ptr_array_add (net->ring[step % RING_SLOTS], packet);
 }
 
+/* Sends the pending messages of the peer INDEX and passes other actions to the
+   callback.  */
 static void
-take_actions (struct pn_net *net, uint32_t index)
+run_actions (struct pn_net *net, uint32_t index)
 {
   struct mem_action action;
-  while (mem_next_action (net->machines[index].fleet, &action))
+  while (mem_next_action (net->peers[index].fleet, &action))
     {
       if (action.kind == MEM_SEND)
         {
@@ -253,30 +264,32 @@
 static void
 deliver (struct pn_net *net, const struct packet *packet)
 {
-  struct machine *machine = &net->machines[packet->to];
+  struct peer *peer = &net->peers[packet->receiver];
   Peer__Envelope *envelope
       = peer__envelope__unpack (NULL, packet->size, packet->bytes);
   g_assert (envelope != NULL);
-  machine->usage.received_bytes += packet->size + FRAME_HEAD_BYTES;
-  mem_receive (machine->fleet, envelope->membership, net->now_us);
+  peer->usage.received_bytes += packet->size + FRAME_HEADER_BYTES;
+  mem_receive (peer->fleet, envelope->membership, net->now_us);
   peer__envelope__free_unpacked (envelope, NULL);
-  take_actions (net, packet->to);
+  run_actions (net, packet->receiver);
 }
 
+/* Delivers the packets of the current step.  Those to paused peers are queued,
+   those to peers that aren't running are dropped.  */
 static void
 deliver_due (struct pn_net *net)
 {
-  GPtrArray *due = net->ring[(net->now_us / PN_STEP_US) % RING_STEPS];
+  GPtrArray *due = net->ring[(net->now_us / PN_STEP_US) % RING_SLOTS];
   for (guint i = 0; i < due->len; i++)
     {
       struct packet *packet = due->pdata[i];
-      struct machine *machine = &net->machines[packet->to];
-      if (machine->fleet != NULL && machine->paused)
+      struct peer *peer = &net->peers[packet->receiver];
+      if (peer->fleet != NULL && peer->paused)
         {
-          g_ptr_array_add (machine->held, packet);
+          g_ptr_array_add (peer->queued, packet);
           due->pdata[i] = NULL;
         }
-      else if (machine->fleet != NULL)
+      else if (peer->fleet != NULL)
         {
           deliver (net, packet);
         }
@@ -294,26 +307,26 @@
 }
 
 static void
-step_machine (struct pn_net *net, uint32_t index)
+step_peer (struct pn_net *net, uint32_t index)
 {
-  struct machine *machine = &net->machines[index];
-  if (machine->fleet == NULL || machine->paused)
+  struct peer *peer = &net->peers[index];
+  if (peer->fleet == NULL || peer->paused)
     {
       return;
     }
-  for (guint i = 0; i < machine->held->len; i++)
+  for (guint i = 0; i < peer->queued->len; i++)
     {
-      deliver (net, machine->held->pdata[i]);
+      deliver (net, peer->queued->pdata[i]);
     }
-  g_ptr_array_set_size (machine->held, 0);
-  if (net->now_us >= machine->due_us)
+  g_ptr_array_set_size (peer->queued, 0);
+  if (net->now_us >= peer->next_tick_us)
     {
-      machine->due_us = mem_tick (machine->fleet, net->now_us);
-      take_actions (net, index);
+      peer->next_tick_us = mem_tick (peer->fleet, net->now_us);
+      run_actions (net, index);
     }
 }
 
-/* Steps everything for DURATION_US of the network's time.  */
+/* Advances the simulated time by DURATION_US and steps all peers.  */
 void
 pn_run (struct pn_net *net, int64_t duration_us)
 {
@@ -324,57 +337,59 @@
       deliver_due (net);
       for (uint32_t i = 0; i < net->count; i++)
         {
-          step_machine (net, i);
+          step_peer (net, i);
         }
     }
 }
 
-/* The network's time.  */
+/* Returns the simulated time.  */
 int64_t
 pn_now_us (const struct pn_net *net)
 {
   return net->now_us;
 }
 
-/* Returns the running MACHINE, or NULL.  Actions that an event on it brings
-   about are taken at its next tick.  */
+/* Returns the membership state of the peer INDEX, or NULL when the peer isn't
+   running.  Actions that a caller's change to this state causes are run at the
+   peer's next tick.  */
 struct mem_fleet *
 pn_fleet (struct pn_net *net, uint32_t index)
 {
-  return net->machines[index].fleet;
+  return net->peers[index].fleet;
 }
 
-/* Returns the name of MACHINE.  */
+/* Returns the name of the peer INDEX.  */
 const char *
 pn_name (const struct pn_net *net, uint32_t index)
 {
-  return net->machines[index].name;
+  return net->peers[index].name;
 }
 
-/* Returns what MACHINE has sent and received since the last reset.  */
+/* Returns the traffic of the peer INDEX since the last pn_reset_usage.  */
 struct pn_usage
 pn_usage (const struct pn_net *net, uint32_t index)
 {
-  return net->machines[index].usage;
+  return net->peers[index].usage;
 }
 
-/* Sets all usage back to 0.  */
+/* Resets the traffic counters of all peers to 0.  */
 void
 pn_reset_usage (struct pn_net *net)
 {
   for (uint32_t i = 0; i < net->count; i++)
     {
-      net->machines[i].usage = (struct pn_usage){ 0 };
+      net->peers[i].usage = (struct pn_usage){ 0 };
     }
 }
 
-/* Whether every running machine holds ALIVE daemons to be alive.  */
+/* Returns true when every running peer counts exactly ALIVE peers as alive,
+   suspect ones and itself included.  */
 bool
 pn_all_see (struct pn_net *net, uint32_t alive)
 {
   for (uint32_t i = 0; i < net->count; i++)
     {
-      const struct mem_fleet *fleet = net->machines[i].fleet;
+      const struct mem_fleet *fleet = net->peers[i].fleet;
       if (fleet != NULL && mem_alive_count (fleet) != alive)
         {
           return false;
--- a/standin/peer_net.h
+++ b/standin/peer_net.h
@@ -1,5 +1,7 @@
-/* A network without sockets or real time: membership machines of many daemons
-   stepped together, with loss, cuts, pauses and kills.  */
+/* Simulates the membership protocol among many daemons, called peers here,
+   without sockets and in simulated time.  All peers are advanced together in
+   steps of PN_STEP_US.  Messages can be lost or blocked, peers paused and
+   killed.  Peers are identified by their index, from 0.  */
 #ifndef STANDIN_PEER_NET_H
 #define STANDIN_PEER_NET_H
 
@@ -10,36 +12,37 @@
 
 #define PN_STEP_US INT64_C (5000)
 
-/* Called for every action other than MEM_SEND. */
-typedef void (*pn_action_fn) (void *user_data, uint32_t machine,
-                              int64_t now_us, const struct mem_action *action);
+/* Called with every action of a peer other than MEM_SEND. */
+typedef void (*pn_action_fn) (void *user_data, uint32_t peer, int64_t now_us,
+                              const struct mem_action *action);
 
+/* Traffic of a peer. */
 struct pn_usage
 {
-  uint64_t messages; /* sent */
-  uint64_t bytes;    /* sent, with the frame's length field */
-  uint64_t received_bytes;
+  uint64_t messages;       /* sent */
+  uint64_t bytes;          /* sent, including frame headers */
+  uint64_t received_bytes; /* including frame headers */
 };
 
 struct pn_net;
 
-struct pn_net *pn_create (uint32_t machines, uint32_t seed);
+struct pn_net *pn_create (uint32_t peers, uint32_t seed);
 void pn_destroy (struct pn_net *net);
 void pn_on_action (struct pn_net *net, pn_action_fn function, void *user_data);
 void pn_set_latency (struct pn_net *net, int64_t latency_us);
 void pn_set_loss (struct pn_net *net, uint32_t per_mille);
-void pn_set_candidates (struct pn_net *net, uint32_t first_machines);
-void pn_cut (struct pn_net *net, uint32_t from, uint32_t to, bool cut);
+void pn_set_candidates (struct pn_net *net, uint32_t peer_count);
+void pn_cut (struct pn_net *net, uint32_t sender, uint32_t receiver, bool cut);
 void pn_cut_groups (struct pn_net *net, uint32_t first_of_second, bool cut);
-void pn_start (struct pn_net *net, uint32_t machine);
+void pn_start (struct pn_net *net, uint32_t peer);
 void pn_start_all (struct pn_net *net);
-void pn_kill (struct pn_net *net, uint32_t machine);
-void pn_pause (struct pn_net *net, uint32_t machine, bool paused);
+void pn_kill (struct pn_net *net, uint32_t peer);
+void pn_pause (struct pn_net *net, uint32_t peer, bool paused);
 void pn_run (struct pn_net *net, int64_t duration_us);
 int64_t pn_now_us (const struct pn_net *net);
-struct mem_fleet *pn_fleet (struct pn_net *net, uint32_t machine);
-const char *pn_name (const struct pn_net *net, uint32_t machine);
-struct pn_usage pn_usage (const struct pn_net *net, uint32_t machine);
+struct mem_fleet *pn_fleet (struct pn_net *net, uint32_t peer);
+const char *pn_name (const struct pn_net *net, uint32_t peer);
+struct pn_usage pn_usage (const struct pn_net *net, uint32_t peer);
 void pn_reset_usage (struct pn_net *net);
 bool pn_all_see (struct pn_net *net, uint32_t alive);
 
--- a/standin/prefix_cache.h
+++ b/standin/prefix_cache.h
@@ -1,11 +1,13 @@
-/* A prefix cache of limited size, with events that are late and have gaps. */
+/* A prefix cache with least-recently-used eviction.  Publishes the blocks that
+   it stores and evicts as events, which can be delayed and dropped.  Not
+   thread-safe. */
 #ifndef STANDIN_PREFIX_CACHE_H
 #define STANDIN_PREFIX_CACHE_H
 
 #include <glib.h>
 #include <stdint.h>
 
-#define PFX_BLOCK_POSITIONS 64
+#define PFX_BLOCK_POSITIONS 64 /* positions in a cached block */
 
 struct pfx_cache;
 
--- a/standin/program.c
+++ b/standin/program.c
@@ -7,8 +7,8 @@
 
 #define EXIT_USAGE 2
 
-/* Parses the command line by TABLE, whose last entry is a struct arg_end.
-   Prints the faults and returns 2 when there are any.  */
+/* Parses the command line with TABLE, whose last entry is a struct arg_end.
+   Returns 0, or 2 after it has printed the errors and the usage.  */
 int
 prg_parse (int argc, char **argv, void **table)
 {
@@ -35,8 +35,8 @@
   sigaddset (signals, SIGINT);
 }
 
-/* Blocks the signals that prg_serve waits for, in every thread started
-   later.  */
+/* Blocks SIGTERM and SIGINT, which prg_serve waits for, in the calling thread
+   and in threads that it starts later.  */
 void
 prg_block_signals (void)
 {
@@ -45,7 +45,8 @@
   pthread_sigmask (SIG_BLOCK, &signals, NULL);
 }
 
-/* Prints the line `ready PORT' and waits for SIGTERM or SIGINT.  */
+/* Prints the line `ready PORT' and waits for SIGTERM or SIGINT.  Then exits
+   the process with status 0 and doesn't return.  */
 void
 prg_serve (uint16_t port)
 {
@@ -59,7 +60,8 @@
   _exit (0);
 }
 
-/* Prints ERROR, frees it and returns the exit status for it.  */
+/* Prints ERROR to standard error and frees ERROR.  Returns the exit status 2.
+ */
 int
 prg_fail (const char *program, GError *error)
 {
--- a/standin/program.h
+++ b/standin/program.h
@@ -1,4 +1,4 @@
-/* What the programs of the stand-ins share. */
+/* Command line parsing and the main loop of the stand-in programs. */
 #ifndef STANDIN_PROGRAM_H
 #define STANDIN_PROGRAM_H
 
