--- a/standin/platform.c
+++ b/standin/platform.c
@@ -13,8 +13,8 @@
 
 #define LOG_PATH "/v1/log/"
 #define WEIGHTS_PATH "/v1/weights/"
-#define STREAM_BYTES 64
-#define READ_DEFAULT 1000
+#define NAME_BYTES_MAX 64         /* of a stream or a host */
+#define READ_RECORDS_DEFAULT 1000 /* records of one read */
 #define WAIT_MAX_MS 30000
 #define MINUTE_US (60 * CLK_S_US)
 
@@ -24,27 +24,28 @@
   struct hs_server *server;
   struct ls_store *log;
   struct hl_list *hosts;
-  pthread_mutex_t lock; /* guards all below */
-  int64_t slow_ms;
-  int64_t lose_answers; /* appends whose answer will be lost */
-  int64_t down_until_us;
-  int64_t list_down_until_us;
-  int64_t list_served; /* newest version given out */
-  double weights;      /* allowance */
-  int64_t weights_at_us;
+  pthread_mutex_t lock;  /* guards all fields below */
+  int64_t slow_ms;       /* delay before each answer */
+  int64_t lose_answers;  /* number of appends whose answers will be lost */
+  int64_t down_until_us; /* monotonic, of the log and the weight store */
+  int64_t list_down_until_us;     /* monotonic, of the host list */
+  int64_t served_version;         /* newest version of the host list served */
+  double weight_allowance;        /* token bucket: ranges allowed now */
+  int64_t weight_allowance_at_us; /* monotonic time of the last refill */
 };
 
+/* Fills ANSWER with the status and the error body of KIND.  */
 static void
-answer_kind (struct hs_answer *answer, enum err_kind kind)
+answer_error (struct hs_answer *answer, enum err_kind kind)
 {
   const struct err_answer *entry = err_answer (kind);
   hs_fail (answer, entry->http_status, entry->name, entry->summary);
 }
 
-/* Returns true when TEXT has 1 to LIMIT characters, all letters, digits or of
-   EXTRA.  */
+/* Returns true when TEXT has 1 to LIMIT characters, all of them ASCII letters,
+   digits or characters of EXTRA.  TEXT may be NULL.  */
 static bool
-is_plain (const char *text, size_t limit, const char *extra)
+has_allowed_chars (const char *text, size_t limit, const char *extra)
 {
   size_t length = text == NULL ? 0 : strlen (text);
   if (length == 0 || length > limit)
@@ -61,7 +62,8 @@
   return true;
 }
 
-/* Returns true when this append is to lose its answer.  */
+/* Returns true when the answer to the current append must be lost, and counts
+   it off.  */
 static bool
 take_lost_answer (struct fp_platform *platform)
 {
@@ -72,22 +74,22 @@
   return lost;
 }
 
-/* Answers POST /v1/log/STREAM.  */
+/* Answers POST /v1/log/STREAM, which appends a record.  */
 static void
 answer_append (struct fp_platform *platform, const char *stream,
                const json_t *body, struct hs_answer *answer)
 {
   const char *record = json_string_value (json_object_get (body, "record"));
-  if (!is_plain (record, SIZE_MAX, "+/="))
+  if (!has_allowed_chars (record, SIZE_MAX, "+/="))
     {
-      answer_kind (answer, ERR_BAD_REQUEST);
+      answer_error (answer, ERR_BAD_REQUEST);
       return;
     }
   int64_t offset = 0;
   enum err_kind kind = ls_append (platform->log, stream, record, &offset);
   if (kind != ERR_NONE)
     {
-      answer_kind (answer, kind);
+      answer_error (answer, kind);
       return;
     }
   answer->lost = take_lost_answer (platform);
@@ -98,15 +100,16 @@
   g_string_append_printf (answer->body, "{\"offset\":%" PRId64 "}", offset);
 }
 
-/* Answers a call below /v1/log/.  */
+/* Answers a request with a path below /v1/log/: POST appends a record, any
+   other method reads records.  */
 static void
 answer_log (struct fp_platform *platform, const struct hs_request *request,
             const json_t *body, struct hs_answer *answer)
 {
   const char *stream = request->path + strlen (LOG_PATH);
-  if (!is_plain (stream, STREAM_BYTES, "-_."))
+  if (!has_allowed_chars (stream, NAME_BYTES_MAX, "-_."))
     {
-      answer_kind (answer, ERR_BAD_REQUEST);
+      answer_error (answer, ERR_BAD_REQUEST);
       return;
     }
   if (strcmp (request->method, "POST") == 0)
@@ -117,21 +120,22 @@
   int64_t wait_ms = hs_query_number (request, "wait_ms", 0);
   enum err_kind kind
       = ls_read (platform->log, stream, hs_query_number (request, "from", 0),
-                 hs_query_number (request, "max", READ_DEFAULT),
+                 hs_query_number (request, "max", READ_RECORDS_DEFAULT),
                  CLAMP (wait_ms, 0, WAIT_MAX_MS) * CLK_MS_US, answer->body);
   if (kind != ERR_NONE)
     {
-      answer_kind (answer, kind);
+      answer_error (answer, kind);
     }
 }
 
-/* Journals that VERSION of the host list is given out for the first time.  */
+/* Writes a journal entry when VERSION of the host list is newer than all
+   versions served before.  */
 static void
 journal_served (struct fp_platform *platform, int64_t version)
 {
   pthread_mutex_lock (&platform->lock);
-  bool first = version > platform->list_served;
-  platform->list_served = first ? version : platform->list_served;
+  bool first = version > platform->served_version;
+  platform->served_version = first ? version : platform->served_version;
   pthread_mutex_unlock (&platform->lock);
   if (first)
     {
@@ -140,7 +144,8 @@
     }
 }
 
-/* Answers GET /v1/hosts.  */
+/* Answers GET /v1/hosts with the host list, or with 304 when the caller
+   already has the current version.  */
 static void
 answer_hosts (struct fp_platform *platform, const struct hs_request *request,
               struct hs_answer *answer)
@@ -151,7 +156,7 @@
   pthread_mutex_unlock (&platform->lock);
   if (down)
     {
-      answer_kind (answer, ERR_LOG_UNAVAILABLE);
+      answer_error (answer, ERR_LOG_UNAVAILABLE);
       return;
     }
   int64_t known = hs_query_number (request, "than", -1);
@@ -160,28 +165,29 @@
   answer->status = version == known ? 304 : 200;
 }
 
-/* Answers GET /v1/weights/MODEL/FIRST-END.  */
+/* Answers GET /v1/weights/MODEL/FIRST-END with an empty object, at most
+   weights_per_min times a minute.  The path isn't checked.  */
 static void
 answer_weights (struct fp_platform *platform, struct hs_answer *answer)
 {
   int64_t now_us = clk_monotonic_us ();
   pthread_mutex_lock (&platform->lock);
   bool down = now_us < platform->down_until_us;
-  double earned = (double)(now_us - platform->weights_at_us)
+  double refill = (double)(now_us - platform->weight_allowance_at_us)
                   * platform->options.weights_per_min / MINUTE_US;
-  platform->weights
-      = MIN (platform->weights + earned, platform->options.weights_per_min);
-  platform->weights_at_us = now_us;
-  bool allowed = !down && platform->weights >= 1;
-  platform->weights -= allowed ? 1 : 0;
+  platform->weight_allowance = MIN (platform->weight_allowance + refill,
+                                    platform->options.weights_per_min);
+  platform->weight_allowance_at_us = now_us;
+  bool allowed = !down && platform->weight_allowance >= 1;
+  platform->weight_allowance -= allowed ? 1 : 0;
   pthread_mutex_unlock (&platform->lock);
   if (down)
     {
-      answer_kind (answer, ERR_LOG_UNAVAILABLE);
+      answer_error (answer, ERR_LOG_UNAVAILABLE);
     }
   else if (!allowed)
     {
-      answer_kind (answer, ERR_RATE_LIMITED);
+      answer_error (answer, ERR_RATE_LIMITED);
       answer->header = "Retry-After: 1";
     }
   else
@@ -190,8 +196,8 @@
     }
 }
 
-/* Changes the host that VALUE tells: its name, or an object with name, address
-   and role.  */
+/* Adds or changes the host in VALUE, which is a name or an object with name,
+   address and role.  Ignores invalid names.  */
 static void
 change_host (struct fp_platform *platform, const json_t *value, bool leaving)
 {
@@ -203,7 +209,7 @@
     .role = json_string_value (json_object_get (value, "role")),
     .leaving = leaving,
   };
-  if (is_plain (host.name, STREAM_BYTES, "-_."))
+  if (has_allowed_chars (host.name, NAME_BYTES_MAX, "-_."))
     {
       int64_t version = hl_put (platform->hosts, &host, clk_monotonic_us ());
       jn_write (platform->options.journal, "host",
@@ -212,7 +218,7 @@
     }
 }
 
-/* Applies CHANGE to VALUE, or to each member when it is an array.  */
+/* Calls change_host for VALUE, or for each element when VALUE is an array.  */
 static void
 change_hosts (struct fp_platform *platform, const json_t *value, bool leaving)
 {
@@ -227,26 +233,26 @@
     }
 }
 
-/* Returns member NAME of BODY, or MISSING.  */
+/* Returns the integer member NAME of BODY, or MISSING when there is none.  */
 static int64_t
-number_of (const json_t *body, const char *name, int64_t missing)
+get_number (const json_t *body, const char *name, int64_t missing)
 {
   const json_t *value = json_object_get (body, name);
   return json_is_integer (value) ? json_integer_value (value) : missing;
 }
 
-/* Sets the outages and delays that BODY names.  */
+/* Sets the outages, delays and lost answers that BODY contains.  */
 static void
 set_faults (struct fp_platform *platform, const json_t *body)
 {
   int64_t now_us = clk_monotonic_us ();
-  int64_t down_ms = number_of (body, "down_ms", -1);
-  int64_t list_down_ms = number_of (body, "list_down_ms", -1);
-  int64_t lag_ms = number_of (body, "list_lag_ms", -1);
+  int64_t down_ms = get_number (body, "down_ms", -1);
+  int64_t list_down_ms = get_number (body, "list_down_ms", -1);
+  int64_t lag_ms = get_number (body, "list_lag_ms", -1);
   pthread_mutex_lock (&platform->lock);
-  platform->slow_ms = number_of (body, "slow_ms", platform->slow_ms);
+  platform->slow_ms = get_number (body, "slow_ms", platform->slow_ms);
   platform->lose_answers
-      = number_of (body, "lose_answers", platform->lose_answers);
+      = get_number (body, "lose_answers", platform->lose_answers);
   if (down_ms >= 0)
     {
       platform->down_until_us = now_us + down_ms * CLK_MS_US;
@@ -263,7 +269,8 @@
     }
 }
 
-/* Answers POST /fault.  */
+/* Answers POST /fault: injects the faults and applies the host changes that
+   BODY contains.  */
 static void
 answer_fault (struct fp_platform *platform, const json_t *body,
               struct hs_answer *answer)
@@ -296,9 +303,9 @@
   g_string_append (answer->body, "{}");
 }
 
-/* Waits as long as the platform is set to be slow.  */
+/* Waits for the delay that the fault slow_ms sets.  */
 static void
-wait_slow (struct fp_platform *platform)
+delay_answer (struct fp_platform *platform)
 {
   pthread_mutex_lock (&platform->lock);
   int64_t slow_ms = platform->slow_ms;
@@ -309,8 +316,10 @@
     }
 }
 
+/* Dispatches a request by its path.  Called from several threads at once.  */
 static void
-handle (void *user, const struct hs_request *request, struct hs_answer *answer)
+handle_request (void *user, const struct hs_request *request,
+                struct hs_answer *answer)
 {
   struct fp_platform *platform = user;
   json_t *body = json_loadb (request->body, request->body_bytes, 0, NULL);
@@ -320,7 +329,7 @@
       json_decref (body);
       return;
     }
-  wait_slow (platform);
+  delay_answer (platform);
   if (g_str_has_prefix (request->path, LOG_PATH))
     {
       answer_log (platform, request, body, answer);
@@ -335,12 +344,13 @@
     }
   else
     {
-      answer_kind (answer, ERR_NOT_FOUND);
+      answer_error (answer, ERR_NOT_FOUND);
     }
   json_decref (body);
 }
 
-/* Starts a platform as OPTIONS say.  Fails with ERR_SETTINGS.  */
+/* Starts a platform with OPTIONS.  Returns NULL and sets ERROR to ERR_SETTINGS
+   when the server can't listen.  */
 struct fp_platform *
 fp_create (const struct fp_options *options, GError **error)
 {
@@ -350,11 +360,11 @@
   platform->log
       = ls_create (options->appends_per_s, options->retention_ms * CLK_MS_US);
   platform->hosts = hl_create (options->list_lag_ms * CLK_MS_US);
-  platform->weights = options->weights_per_min;
+  platform->weight_allowance = options->weights_per_min;
   const struct hs_options server = {
     .port = options->port,
     .connections = options->connections,
-    .handler = handle,
+    .handler = handle_request,
     .user = platform,
   };
   platform->server = hs_create (&server, error);
@@ -389,7 +399,7 @@
   return hs_port (platform->server);
 }
 
-/* Lists HOST from the start, without lag.  */
+/* Adds HOST to the host list, visible at once regardless of the lag.  */
 void
 fp_add_host (struct fp_platform *platform, const struct hl_host *host)
 {
--- a/standin/platform_main.c
+++ b/standin/platform_main.c
@@ -6,16 +6,16 @@
 
 #define HOSTS_MAX 1024
 #define CONNECTIONS_DEFAULT 128
-#define HOST_PARTS 3
+#define HOST_PART_COUNT 3
 
-/* Lists the host that TEXT gives as NAME,ADDRESS,ROLE.  Returns false when it
-   is malformed.  */
+/* Adds the host in TEXT, which is NAME,ADDRESS,ROLE, to the host list. Returns
+   false when TEXT has fewer parts.  */
 static gboolean
 add_host (struct fp_platform *platform, const char *text)
 {
-  gchar **parts = g_strsplit (text, ",", HOST_PARTS);
-  gboolean good = g_strv_length (parts) == HOST_PARTS;
-  if (good)
+  gchar **parts = g_strsplit (text, ",", HOST_PART_COUNT);
+  gboolean valid = g_strv_length (parts) == HOST_PART_COUNT;
+  if (valid)
     {
       const struct hl_host host = {
         .name = parts[0],
@@ -25,9 +25,10 @@
       fp_add_host (platform, &host);
     }
   g_strfreev (parts);
-  return good;
+  return valid;
 }
 
+/* Runs the platform stand-in until SIGTERM or SIGINT.  */
 int
 main (int argc, char **argv)
 {
--- a/standin/program.c
+++ b/standin/program.c
@@ -60,8 +60,7 @@
   _exit (0);
 }
 
-/* Prints ERROR to standard error and frees ERROR.  Returns the exit status 2.
- */
+/* Prints ERROR to standard error and frees it.  Returns the exit status 2.  */
 int
 prg_fail (const char *program, GError *error)
 {
--- a/standin/service.c
+++ b/standin/service.c
@@ -12,9 +12,9 @@
 #include <unistd.h>
 #include <xxhash.h>
 
-#define JOB_BYTES 256
-#define STOCK_LIMIT 100
-#define DIED_STATUS 1
+#define JOB_BYTES_MAX 256
+#define STOCK_RANGE 100   /* reported stocks are below this */
+#define DIE_EXIT_STATUS 1 /* of the process after the fault `die' */
 #define NOT_RUN_HEADER "X-Not-Run: true"
 
 struct fs_service
@@ -22,23 +22,25 @@
   struct fs_options options;
   char *name;
   struct hs_server *server;
-  pthread_mutex_t lock; /* guards all below */
-  int64_t bookings;
-  bool leaving;
-  int64_t delay_ms;
-  int64_t lose_answers; /* calls whose answer will be lost */
-  int64_t not_run;      /* calls that will not run */
+  pthread_mutex_t lock; /* guards all fields below */
+  int64_t bookings;     /* made so far; numbers the next one */
+  bool leaving;         /* refuses bookings */
+  int64_t delay_ms;     /* added to the duration of each call */
+  int64_t lose_answers; /* number of calls whose answers will be lost */
+  int64_t not_run;      /* number of calls during which bookings are refused;
+                           look-ups run, but are counted */
 };
 
-/* What the faults set decide about one call. */
+/* The injected faults that apply to one call. */
 struct call_faults
 {
-  int64_t delay_ms;
+  int64_t delay_ms; /* duration of the call, including work_ms */
   bool lose_answer;
   bool not_run;
 };
 
-/* Takes one call's share of the faults.  */
+/* Returns the faults that apply to the current call and counts the call off
+   the limited ones.  */
 static struct call_faults
 take_faults (struct fs_service *service)
 {
@@ -53,30 +55,31 @@
   return faults;
 }
 
-/* Books SLOT, however often it was booked before.  */
+/* Books SLOT, also when it is already booked, and writes the effect to the
+   journal.  */
 static void
 book (struct fs_service *service, const struct hs_request *request,
       const char *slot, struct hs_answer *answer)
 {
-  GString *quoted = g_string_new (NULL);
-  GString *id = g_string_new (NULL);
-  jn_append_json (quoted, slot);
-  jn_append_json (id, request->request_id);
+  GString *quoted_slot = g_string_new (NULL);
+  GString *quoted_id = g_string_new (NULL);
+  jn_append_json (quoted_slot, slot);
+  jn_append_json (quoted_id, request->request_id);
   pthread_mutex_lock (&service->lock);
   int64_t booking = ++service->bookings;
   jn_write (service->options.journal, "effect",
             ",\"host\":\"%s\",\"booking\":%" PRId64
             ",\"slot\":%s,\"request_id\":%s",
-            service->name, booking, quoted->str, id->str);
+            service->name, booking, quoted_slot->str, quoted_id->str);
   pthread_mutex_unlock (&service->lock);
   g_string_append_printf (answer->body,
                           "{\"booking\":%" PRId64 ",\"slot\":%s}", booking,
-                          quoted->str);
-  g_string_free (id, TRUE);
-  g_string_free (quoted, TRUE);
+                          quoted_slot->str);
+  g_string_free (quoted_id, TRUE);
+  g_string_free (quoted_slot, TRUE);
 }
 
-/* Answers POST /book.  */
+/* Answers POST /book, which books the slot in BODY.  */
 static void
 answer_book (struct fs_service *service, const struct hs_request *request,
              const json_t *body, struct hs_answer *answer)
@@ -101,12 +104,13 @@
   answer->lost = faults.lose_answer;
 }
 
-/* Answers GET /lookup.  */
+/* Answers GET /lookup with the stock of a job, which is a hash of the job's
+   name.  */
 static void
 answer_lookup (struct fs_service *service, const struct hs_request *request,
                struct hs_answer *answer)
 {
-  char job[JOB_BYTES];
+  char job[JOB_BYTES_MAX];
   if (mg_get_var (request->query, strlen (request->query), "job", job,
                   sizeof job)
       <= 0)
@@ -120,11 +124,11 @@
   jn_append_json (answer->body, job);
   g_string_append_printf (
       answer->body, ",\"stock\":%u}",
-      (uint32_t)(XXH64 (job, strlen (job), 0) % STOCK_LIMIT));
+      (uint32_t)(XXH64 (job, strlen (job), 0) % STOCK_RANGE));
   answer->lost = faults.lose_answer;
 }
 
-/* Replaces *VALUE by member NAME of BODY when that is a number.  */
+/* Sets *VALUE to the member NAME of BODY if that is an integer.  */
 static void
 set_number (const json_t *body, const char *name, int64_t *value)
 {
@@ -135,7 +139,8 @@
     }
 }
 
-/* Answers POST /fault.  */
+/* Answers POST /fault: injects the faults that BODY contains.  The fault `die'
+   exits the process without an answer.  */
 static void
 answer_fault (struct fs_service *service, const json_t *body,
               struct hs_answer *answer)
@@ -146,7 +151,7 @@
   free (text);
   if (json_is_true (json_object_get (body, "die")))
     {
-      _exit (DIED_STATUS);
+      _exit (DIE_EXIT_STATUS);
     }
   const json_t *leaving = json_object_get (body, "leaving");
   pthread_mutex_lock (&service->lock);
@@ -164,21 +169,24 @@
   g_string_append (answer->body, "{}");
 }
 
+/* Dispatches a request by its method and path.  Called from several threads.
+ */
 static void
-handle (void *user, const struct hs_request *request, struct hs_answer *answer)
+handle_request (void *user, const struct hs_request *request,
+                struct hs_answer *answer)
 {
   struct fs_service *service = user;
   json_t *body = json_loadb (request->body, request->body_bytes, 0, NULL);
-  bool post = strcmp (request->method, "POST") == 0;
-  if (post && strcmp (request->path, "/book") == 0)
+  bool is_post = strcmp (request->method, "POST") == 0;
+  if (is_post && strcmp (request->path, "/book") == 0)
     {
       answer_book (service, request, body, answer);
     }
-  else if (post && strcmp (request->path, "/fault") == 0)
+  else if (is_post && strcmp (request->path, "/fault") == 0)
     {
       answer_fault (service, body, answer);
     }
-  else if (!post && strcmp (request->path, "/lookup") == 0)
+  else if (!is_post && strcmp (request->path, "/lookup") == 0)
     {
       answer_lookup (service, request, answer);
     }
@@ -189,7 +197,8 @@
   json_decref (body);
 }
 
-/* Starts a service as OPTIONS say.  Fails with ERR_SETTINGS.  */
+/* Starts a service with OPTIONS and writes `started' to the journal.  Returns
+   NULL and sets ERROR to ERR_SETTINGS when the server can't listen.  */
 struct fs_service *
 fs_create (const struct fs_options *options, GError **error)
 {
@@ -200,7 +209,7 @@
   const struct hs_options server = {
     .port = options->port,
     .connections = options->connections,
-    .handler = handle,
+    .handler = handle_request,
     .user = service,
   };
   service->server = hs_create (&server, error);
--- a/standin/service_main.c
+++ b/standin/service_main.c
@@ -5,6 +5,7 @@
 
 #define CONNECTIONS_DEFAULT 64
 
+/* Runs the service stand-in until SIGTERM or SIGINT.  */
 int
 main (int argc, char **argv)
 {
