--- a/standin/fleet_group.c
+++ b/standin/fleet_group.c
@@ -111,9 +111,8 @@
     }
 }
 
-/* Applies a join request, or a leave request when LEAVES is true, and answers
-   CONNECTION with the generation and with the partitions that the member has.
- */
+/* Applies a join request, or a leave request when LEAVES is true.  Answers
+   CONNECTION with the generation and with the member's partitions.  */
 void
 sfl_group_serve (struct sfl_fleet *fleet, struct nsv_connection *connection,
                  const struct msg_message *request, bool leaves)
--- a/standin/model.c
+++ b/standin/model.c
@@ -54,8 +54,8 @@
     }
 }
 
-/* Returns the hidden value that layer 0 gets as input for TOKEN at POSITION.
- */
+/* Returns the hidden value that is the input of layer 0 for TOKEN at
+   POSITION.  */
 uint64_t
 md_embed (uint32_t token, uint32_t position)
 {
--- a/standin/platform_main.c
+++ b/standin/platform_main.c
@@ -8,8 +8,8 @@
 #define CONNECTIONS_DEFAULT 128
 #define HOST_PART_COUNT 3
 
-/* Adds the host in TEXT, which is NAME,ADDRESS,ROLE, to the host list. Returns
-   false when TEXT has fewer parts.  */
+/* Adds the host in TEXT, which is NAME,ADDRESS,ROLE, to the host list.
+   Returns false when TEXT has fewer parts.  */
 static gboolean
 add_host (struct fp_platform *platform, const char *text)
 {
--- a/standin/service.c
+++ b/standin/service.c
@@ -169,8 +169,8 @@
   g_string_append (answer->body, "{}");
 }
 
-/* Dispatches a request by its method and path.  Called from several threads.
- */
+/* Dispatches a request by its method and path.  Called from several threads
+   at once.  */
 static void
 handle_request (void *user, const struct hs_request *request,
                 struct hs_answer *answer)
