--- a/test/standin_client.c
+++ b/test/standin_client.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 
 #define TIMEOUT_MS 10000L
-#define SILENT_TIMEOUT_MS 300L
+#define SILENT_TIMEOUT_MS 300L /* when no answer is expected */
 
 struct client
 {
@@ -17,10 +17,10 @@
   GString *headers; /* of the last answer */
   uint16_t port;
   long timeout_ms;
-  long fresh; /* 1: the next call opens a connection */
+  long fresh_connection; /* 1: the next call opens a new connection */
 };
 
-/* Creates a client of the server on PORT.  */
+/* Creates a client of the server on PORT of the loopback address.  */
 struct client *
 client_create (uint16_t port)
 {
@@ -42,14 +42,15 @@
 }
 
 static size_t
-keep_body (char *data, size_t size, size_t count, void *user)
+append_body (char *data, size_t size, size_t count, void *answer)
 {
-  g_string_append_len (user, data, (gssize)(size * count));
+  g_string_append_len (answer, data, (gssize)(size * count));
   return size * count;
 }
 
-/* Sends BODY by POST to PATH, or GETs it when BODY is NULL.  Returns the
-   status, STATUS_NONE or STATUS_SILENT, and sets ANSWER.  */
+/* Sends BODY to PATH by POST, or sends a GET request when BODY is NULL.  Sets
+   ANSWER to the body of the answer.  Returns the HTTP status, STATUS_NONE or
+   STATUS_SILENT.  */
 int
 client_call (struct client *client, const char *path, const char *body,
              GString *answer)
@@ -62,10 +63,10 @@
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, client->timeout_ms);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, keep_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, answer);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, client->headers);
-  curl_easy_setopt (curl, CURLOPT_FRESH_CONNECT, client->fresh);
+  curl_easy_setopt (curl, CURLOPT_FRESH_CONNECT, client->fresh_connection);
   if (body != NULL)
     {
       curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body);
@@ -84,8 +85,9 @@
   return (int)status;
 }
 
-/* Runs EXCHANGES up to the first without a path; fails the test called NAME at
-   the first that is answered otherwise.  */
+/* Runs EXCHANGES up to the first one without a path.  Fails the test when an
+   answer differs from the expected one; NAME is the test case in the failure
+   message.  */
 void
 client_run (struct client *client, const char *name,
             const struct exchange *exchanges)
@@ -96,8 +98,8 @@
       const struct exchange *exchange = &exchanges[i];
       client->timeout_ms
           = exchange->status == STATUS_SILENT ? SILENT_TIMEOUT_MS : TIMEOUT_MS;
-      /* libcurl repeats a call by itself when a used connection closes.  */
-      client->fresh = exchange->status == STATUS_NONE;
+      /* libcurl retries a call on its own when a reused connection closes.  */
+      client->fresh_connection = exchange->status == STATUS_NONE;
       int status
           = client_call (client, exchange->path, exchange->body, answer);
       if (status != exchange->status
@@ -105,7 +107,7 @@
               && strstr (answer->str, exchange->expect) == NULL
               && strstr (client->headers->str, exchange->expect) == NULL))
         {
-          fail_msg ("%s, call %d of %s: status %d for %d: %s", name, i,
+          fail_msg ("%s, call %d to %s: status %d, expected %d: %s", name, i,
                     exchange->path, status, exchange->status, answer->str);
         }
     }
--- a/test/standin_client.h
+++ b/test/standin_client.h
@@ -1,5 +1,5 @@
-/* A client for contract tests: one exchange after another on one
-   connection. */
+/* An HTTP client for the contract tests of the stand-ins.  Sends requests one
+   after another on one kept-alive connection. */
 #ifndef TEST_STANDIN_CLIENT_H
 #define TEST_STANDIN_CLIENT_H
 
@@ -7,15 +7,16 @@
 #include <stdint.h>
 
 #define EXCHANGES_MAX 12
-#define STATUS_NONE 0 /* the connection closed without an answer */
-#define STATUS_SILENT (-1)
+#define STATUS_NONE 0      /* the connection closed without an answer */
+#define STATUS_SILENT (-1) /* no answer arrived before the timeout */
 
+/* A request and the answer that a test expects. */
 struct exchange
 {
-  const char *path; /* a call with a body is POST, one without is GET */
-  const char *body;
-  int status;
-  const char *expect; /* part of the body or the headers, or NULL */
+  const char *path;
+  const char *body;   /* sent by POST; NULL: GET */
+  int status;         /* expected; may be STATUS_NONE or STATUS_SILENT */
+  const char *expect; /* substring of the body or the headers; NULL: any */
 };
 
 struct client;
--- a/test/standin_endpoint_test.c
+++ b/test/standin_endpoint_test.c
@@ -11,27 +11,29 @@
 #include <cmocka.h>
 
 #define TIMEOUT_US INT64_C (5000000)
-#define THREADS 2
+#define THREADS 2 /* of the server, one for each open connection */
 #define CALLS 6
 
+/* Leaves the initial answer: status 200 with an empty body.  */
 static void
-answer_nothing (void *user, const struct hs_request *request,
-                struct hs_answer *answer)
+answer_empty (void *user, const struct hs_request *request,
+              struct hs_answer *answer)
 {
   (void)user;
   (void)request;
   (void)answer;
 }
 
-/* Calls that open a connection of their own leave none behind: a server for
-   THREADS connections answers any number of them.  */
+/* Guards against connections that stay open after a call with new_connection.
+   A server for THREADS connections could then answer only THREADS of the
+   calls.  */
 static void
-own_connections_are_closed (void **state)
+closes_connection_of_each_call (void **state)
 {
   (void)state;
   const struct hs_options options = {
     .connections = THREADS,
-    .handler = answer_nothing,
+    .handler = answer_empty,
   };
   struct hs_server *server = hs_create (&options, NULL);
   char *url = g_strdup_printf ("http://127.0.0.1:%u", hs_port (server));
@@ -53,20 +55,21 @@
   g_free (url);
 }
 
-struct opening
+/* A call that opens a stream, and its result. */
+struct stream_call
 {
   struct con_pool *pool;
   const char *request;
   enum err_kind error;
 };
 
-/* Opens a stream from a thread of its own.  */
+/* Thread function: runs the first step of a request on the engine.  */
 static gpointer
-open_stream (gpointer data)
+run_step (gpointer data)
 {
-  struct opening *opening = data;
+  struct stream_call *stream_call = data;
   const struct eng_step step = {
-    .request = opening->request,
+    .request = stream_call->request,
     .attempt = 1,
     .model = "draft",
     .end = 4,
@@ -74,26 +77,27 @@
     .timeout_us = TIMEOUT_US,
   };
   struct eng_step_answer answer;
-  opening->error = eng_step_run (opening->pool, &step, &answer);
+  stream_call->error = eng_step_run (stream_call->pool, &step, &answer);
   eng_step_answer_clear (&answer);
   return NULL;
 }
 
-/* Returns true when the engine has crossed two answers; a busy
-   machine may keep the two apart.  */
+/* Returns true when the engine has swapped the answers of two requests.  It
+   can't when the requests don't overlap, as on a busy host.  */
 static bool
-has_crossed (struct client *client)
+has_swapped_answers (struct client *client)
 {
   GString *answer = g_string_new (NULL);
   client_call (client, "/fault", "{}", answer);
-  bool crossed = strstr (answer->str, "\"cross_answers\":0") != NULL;
+  bool swapped = strstr (answer->str, "\"cross_answers\":0") != NULL;
   g_string_free (answer, TRUE);
-  return crossed;
+  return swapped;
 }
 
-/* Of two answers that cross, neither is taken.  */
+/* Guards against accepting the answer to another request.  When the engine
+   swaps the answers of two concurrent requests, both calls fail.  */
 static void
-crossed_answers_are_refused (void **state)
+rejects_both_swapped_answers (void **state)
 {
   (void)state;
   const struct fe_options options = {
@@ -113,7 +117,7 @@
   static const struct exchange cross[EXCHANGES_MAX] = {
     { "/fault", "{\"cross_answers\":1}", 200, NULL },
   };
-  struct opening openings[2] = {
+  struct stream_call stream_calls[2] = {
     { .pool = pool, .request = "one" },
     { .pool = pool, .request = "two" },
   };
@@ -123,20 +127,20 @@
       GThread *threads[2];
       for (int i = 0; i < 2; i++)
         {
-          threads[i] = g_thread_new ("open", open_stream, &openings[i]);
+          threads[i] = g_thread_new ("open", run_step, &stream_calls[i]);
         }
       for (int i = 0; i < 2; i++)
         {
           g_thread_join (threads[i]);
         }
     }
-  while (!has_crossed (client));
-  assert_int_equal (openings[0].error, ERR_ENDPOINT_FAILED);
-  assert_int_equal (openings[1].error, ERR_ENDPOINT_FAILED);
+  while (!has_swapped_answers (client));
+  assert_int_equal (stream_calls[0].error, ERR_ENDPOINT_FAILED);
+  assert_int_equal (stream_calls[1].error, ERR_ENDPOINT_FAILED);
   for (int i = 0; i < 2; i++)
     {
-      open_stream (&openings[i]);
-      assert_int_equal (openings[i].error, ERR_NONE);
+      run_step (&stream_calls[i]);
+      assert_int_equal (stream_calls[i].error, ERR_NONE);
     }
   client_destroy (client);
   con_pool_destroy (pool);
@@ -148,8 +152,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (own_connections_are_closed),
-    cmocka_unit_test (crossed_answers_are_refused),
+    cmocka_unit_test (closes_connection_of_each_call),
+    cmocka_unit_test (rejects_both_swapped_answers),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/test/standin_platform_test.c
+++ b/test/standin_platform_test.c
@@ -11,11 +11,12 @@
 #define FAULT "/fault"
 #define NEVER_MS "3600000"
 
+/* Exchanges with one platform, and the options that the platform gets. */
 struct platform_case
 {
   const char *name;
   uint32_t appends_per_s; /* 0: 1000 */
-  uint32_t retention_ms;  /* 0: an hour */
+  uint32_t retention_ms;  /* 0: one hour */
   uint32_t list_lag_ms;
   uint32_t weights_per_min; /* 0: 600 */
   struct exchange exchanges[EXCHANGES_MAX];
@@ -33,14 +34,14 @@
           "{\"first\":0,\"next\":2,\"records\":[]}" },
         { "/v1/log/none", NULL, 200,
           "{\"first\":0,\"next\":0,\"records\":[]}" } } },
-  { .name = "malformed",
+  { .name = "malformed requests are rejected",
     .exchanges
     = { { "/v1/log/a", "{\"record\":\"a b\"}", 400, "\"bad_request\"" },
         { "/v1/log/a", "{\"record\":7}", 400, NULL },
         { "/v1/log/a", "nonsense", 400, NULL },
         { "/v1/log/a%20b", "{\"record\":\"YQ==\"}", 400, NULL },
         { "/v1/other", NULL, 404, NULL } } },
-  { .name = "outage: nothing is appended or read",
+  { .name = "outage: appends and reads fail",
     .exchanges
     = { { FAULT, "{\"down_ms\":" NEVER_MS "}", 200, NULL },
         { "/v1/log/a", "{\"record\":\"YQ==\"}", 503, "\"log_unavailable\"" },
@@ -49,13 +50,13 @@
         { "/v1/hosts", NULL, 200, NULL },
         { FAULT, "{\"down_ms\":0}", 200, NULL },
         { "/v1/log/a", "{\"record\":\"YQ==\"}", 200, "{\"offset\":0}" } } },
-  { .name = "lost answers: the record is in",
+  { .name = "lost answer: the record is stored",
     .exchanges
     = { { FAULT, "{\"lose_answers\":1}", 200, NULL },
         { "/v1/log/a", "{\"record\":\"YQ==\"}", STATUS_NONE, NULL },
         { "/v1/log/a", "{\"record\":\"Yg==\"}", 200, "{\"offset\":1}" },
         { "/v1/log/a", NULL, 200, "\"record\":\"YQ==\"" } } },
-  { .name = "append rate",
+  { .name = "append rate is limited",
     .appends_per_s = 1,
     .exchanges
     = { { "/v1/log/a", "{\"record\":\"YQ==\"}", 200, NULL },
@@ -79,34 +80,36 @@
           "{\"version\":4,\"hosts\":[{\"name\":\"d\"" },
         { FAULT, "{\"list_down_ms\":" NEVER_MS "}", 200, NULL },
         { "/v1/hosts", NULL, 503, NULL } } },
-  { .name = "the host list lags",
+  { .name = "the host list shows changes after the lag",
     .list_lag_ms = 3600000,
     .exchanges = { { FAULT, "{\"leaving\":\"a\"}", 200, NULL },
                    { "/v1/hosts", NULL, 200, "\"state\":\"live\"" },
                    { FAULT, "{\"list_lag_ms\":0}", 200, NULL },
                    { "/v1/hosts", NULL, 200, "\"state\":\"leaving\"" } } },
-  { .name = "the weight store is limited",
+  { .name = "the rate of the weight store is limited",
     .weights_per_min = 1,
     .exchanges
     = { { "/v1/weights/draft/0-4", NULL, 200, NULL },
         { "/v1/weights/draft/0-4", NULL, 429, "\"rate_limited\"" } } },
-  { .name = "silent connections; new ones work",
+  { .name = "silent connections; new connections are answered",
     .exchanges = { { FAULT, "{\"silent_connections\":true}", 200, NULL },
                    { "/v1/hosts", NULL, STATUS_SILENT, NULL },
                    { "/v1/hosts", NULL, 200, NULL } } },
 };
 
-/* Starts the platform of ENTRY with one host.  */
+/* Starts a platform with the options of TEST_CASE and one host.  */
 static struct fp_platform *
-start_platform (const struct platform_case *entry)
+start_platform (const struct platform_case *test_case)
 {
   const struct fp_options options = {
     .connections = 8,
-    .appends_per_s = entry->appends_per_s == 0 ? 1000 : entry->appends_per_s,
-    .retention_ms = entry->retention_ms == 0 ? 3600000 : entry->retention_ms,
-    .list_lag_ms = entry->list_lag_ms,
+    .appends_per_s
+    = test_case->appends_per_s == 0 ? 1000 : test_case->appends_per_s,
+    .retention_ms
+    = test_case->retention_ms == 0 ? 3600000 : test_case->retention_ms,
+    .list_lag_ms = test_case->list_lag_ms,
     .weights_per_min
-    = entry->weights_per_min == 0 ? 600 : entry->weights_per_min,
+    = test_case->weights_per_min == 0 ? 600 : test_case->weights_per_min,
   };
   const struct hl_host host = {
     .name = "a",
@@ -121,27 +124,29 @@
 }
 
 static void
-platform_keeps_its_contract (void **state)
+platform_answers_as_specified (void **state)
 {
   (void)state;
   for (size_t i = 0; i < G_N_ELEMENTS (platform_cases); i++)
     {
-      const struct platform_case *entry = &platform_cases[i];
-      struct fp_platform *platform = start_platform (entry);
+      const struct platform_case *test_case = &platform_cases[i];
+      struct fp_platform *platform = start_platform (test_case);
       struct client *client = client_create (fp_port (platform));
-      client_run (client, entry->name, entry->exchanges);
+      client_run (client, test_case->name, test_case->exchanges);
       client_destroy (client);
       fp_destroy (platform);
     }
 }
 
-/* Records age out; offsets stay, and reading starts at the first kept.  */
+/* Guards against offsets that change when records expire: a read from an
+   expired offset starts at the oldest record left, and the next append gets
+   the next offset.  */
 static void
-records_age_out (void **state)
+records_expire (void **state)
 {
   (void)state;
-  const struct platform_case entry = { .retention_ms = 1 };
-  struct fp_platform *platform = start_platform (&entry);
+  const struct platform_case test_case = { .retention_ms = 1 };
+  struct fp_platform *platform = start_platform (&test_case);
   struct client *client = client_create (fp_port (platform));
   GString *answer = g_string_new (NULL);
   client_call (client, "/v1/log/a", "{\"record\":\"YQ==\"}", answer);
@@ -158,12 +163,13 @@
   fp_destroy (platform);
 }
 
+/* Argument of append_record. */
 struct append
 {
   uint16_t port;
 };
 
-/* Appends one record from another thread.  */
+/* Thread function: appends one record.  */
 static gpointer
 append_record (gpointer data)
 {
@@ -176,14 +182,14 @@
   return NULL;
 }
 
-/* A reader that waits gets a record appended meanwhile, long before its wait
-   would end.  */
+/* Guards against a waiting read that misses a record appended during the wait,
+   which is long enough for another thread to append one.  */
 static void
-waiting_reader_gets_the_record (void **state)
+waiting_read_returns_new_record (void **state)
 {
   (void)state;
-  const struct platform_case entry = { .name = "wait" };
-  struct fp_platform *platform = start_platform (&entry);
+  const struct platform_case test_case = { .name = "wait" };
+  struct fp_platform *platform = start_platform (&test_case);
   struct append append = { .port = fp_port (platform) };
   struct client *client = client_create (append.port);
   GString *answer = g_string_new (NULL);
@@ -202,9 +208,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (platform_keeps_its_contract),
-    cmocka_unit_test (records_age_out),
-    cmocka_unit_test (waiting_reader_gets_the_record),
+    cmocka_unit_test (platform_answers_as_specified),
+    cmocka_unit_test (records_expire),
+    cmocka_unit_test (waiting_read_returns_new_record),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
