--- a/standin/entry_process.h
+++ b/standin/entry_process.h
@@ -9,6 +9,7 @@
 #include <stdint.h>
 #include <sys/types.h>
 
+/* The daemon's name, and settings of the same names in its settings file. */
 struct sep_params
 {
   const char *name;   /* of the daemon and of its files in FOLDER */
--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -17,7 +17,8 @@
 #define PORT_BLOCK_SIZE 200
 
 /* An engine with 460 MB holds half of the model (4 of 8 layers, 100 MB each)
-   and has room for requests.  The %s take a further API key. */
+   and has room for requests.  The %s take the quotes and the name of a
+   second API key, or are empty. */
 #define CONFIGURATION                                                         \
   "{\"Version\":%" G_GUINT64_FORMAT ",\"Routes\":["                           \
   "{\"Name\":\"draft\",\"Hostname\":\"fleet.example\","                       \
--- a/standin/fleet_endpoint.c
+++ b/standin/fleet_endpoint.c
@@ -72,32 +72,34 @@
   struct sfl_fleet *fleet = endpoint->fleet;
   char *at_fault = NULL;
   gchar **parts = g_strsplit (text == NULL ? "" : text, ",", 0);
-  uint32_t next = 0;
+  uint32_t next_layer = 0;
   for (guint i = 0; parts[i] != NULL; i++)
     {
       char address[64] = "";
       uint32_t first = 0;
       uint32_t end = 0;
       int fields = sscanf (parts[i], "%63[^=]=%u-%u", address, &first, &end);
-      const struct sfl_endpoint *part = find_endpoint (fleet, address);
-      if (fields != 3 || first != next || end <= first
-          || (i == 0 && part != endpoint))
+      const struct sfl_endpoint *engine = find_endpoint (fleet, address);
+      if (fields != 3 || first != next_layer || end <= first
+          || (i == 0 && engine != endpoint))
         {
           sfl_record_violation (fleet, "path '%s' is wrong at part %u", text,
                                 i);
           break;
         }
-      bool serves = part != NULL && !part->dead && first >= part->first_layer
-                    && end <= part->end_layer;
+      bool serves = engine != NULL && !engine->dead
+                    && first >= engine->first_layer
+                    && end <= engine->end_layer;
       if (at_fault == NULL && !serves)
         {
           at_fault = g_strdup (address);
         }
-      next = end;
+      next_layer = end;
     }
-  if (next != SFL_LAYERS)
+  if (next_layer != SFL_LAYERS)
     {
-      sfl_record_violation (fleet, "path '%s' ends at layer %u", text, next);
+      sfl_record_violation (fleet, "path '%s' ends at layer %u", text,
+                            next_layer);
     }
   g_strfreev (parts);
   return at_fault;
@@ -107,13 +109,13 @@
 static void
 write_headers (const struct sfl_answer *answer, char *headers, size_t bytes)
 {
-  bool foreign = answer->fault == SFL_FOREIGN;
+  bool wrong_id = answer->fault == SFL_FOREIGN;
   const char *signature
       = answer->fault == SFL_UNSIGNED ? "" : PFH_SIGNATURE ": 1.2.3\r\n";
   g_snprintf (headers, (gulong)bytes,
               PFH_REQUEST_ID ": %s\r\n%sKeep-Alive: timeout=5\r\n"
                              "Content-Type: %s\r\n",
-              foreign ? "another" : answer->id, signature,
+              wrong_id ? "another" : answer->id, signature,
               answer->is_stream ? "text/event-stream" : "text/plain");
 }
 
@@ -131,17 +133,18 @@
                  answer->fault != SFL_WITHOUT_LENGTH);
       answer->headers_sent = true;
     }
-  answer->next_event++;
-  int length = g_snprintf (event, sizeof event, "id: %u\ndata: %s-%u\n\n",
-                           answer->next_event, answer->id, answer->next_event);
-  if (answer->fault == SFL_CUTS_MIDWAY && answer->next_event == 3)
+  answer->last_event_id++;
+  int length
+      = g_snprintf (event, sizeof event, "id: %u\ndata: %s-%u\n\n",
+                    answer->last_event_id, answer->id, answer->last_event_id);
+  if (answer->fault == SFL_CUTS_MIDWAY && answer->last_event_id == 3)
     {
       nsv_piece (answer->connection, event, (size_t)length / 2);
       nsv_abort (answer->connection);
       return false;
     }
   nsv_piece (answer->connection, event, (size_t)length);
-  if (answer->next_event < SFL_STREAM_EVENTS)
+  if (answer->last_event_id < SFL_STREAM_EVENTS)
     {
       return true;
     }
@@ -247,7 +250,7 @@
   answer->id = g_strdup (id);
   answer->is_stream = endpoint->is_engine;
   answer->fault = fault;
-  answer->next_event = last_event == NULL ? 0 : (uint32_t)atoi (last_event);
+  answer->last_event_id = last_event == NULL ? 0 : (uint32_t)atoi (last_event);
   uv_timer_init (fleet->params.loop, &answer->timer);
   answer->timer.data = answer;
   nsv_bind (connection, answer);
--- a/standin/fleet_private.h
+++ b/standin/fleet_private.h
@@ -55,8 +55,8 @@
   struct sfl_endpoint *endpoint;
   struct nsv_connection *connection;
   uv_timer_t timer;
-  char *id; /* of the request */
-  uint32_t next_event;
+  char *id;               /* of the request */
+  uint32_t last_event_id; /* of the last event sent; 0: none */
   bool is_stream;
   enum sfl_fault fault;
   bool headers_sent;
--- a/standin/http_server.h
+++ b/standin/http_server.h
@@ -32,7 +32,7 @@
                          that became silent during the request */
 };
 
-/* Fills ANSWER to REQUEST.  USER is the one of the options. */
+/* Fills ANSWER with the answer to REQUEST.  USER is that of hs_options. */
 typedef void (*hs_handler) (void *user, const struct hs_request *request,
                             struct hs_answer *answer);
 
