--- a/soak/callers.c
+++ b/soak/callers.c
@@ -95,7 +95,7 @@
   struct srd_request *request = call->request;
   GString *wanted = wanted_answer (request);
   request->complete = true;
-  request->right = g_string_equal (wanted, call->body);
+  request->correct = g_string_equal (wanted, call->body);
   request->ended_us = clk_monotonic_us ();
   g_string_free (wanted, TRUE);
   end_call (call);
@@ -213,7 +213,7 @@
   struct srd_request *request = srd_add_request (callers->params.record, id);
   draw (callers, extra_key, request);
   request->daemon = daemon->index;
-  request->start = daemon->start;
+  request->start_number = daemon->start_number;
   struct call *call = g_new0 (struct call, 1);
   call->callers = callers;
   call->request = request;
@@ -249,7 +249,7 @@
       bool leaves = now_us >= call->leaves_us;
       if (leaves || now_us >= call->request->deadline_us + GIVE_UP_US)
         {
-          call->request->left_us = leaves ? now_us : SRD_NEVER;
+          call->request->caller_left_us = leaves ? now_us : SRD_NEVER;
           ncl_cancel (call->exchange);
           end_call (call);
         }
--- a/soak/daemons.c
+++ b/soak/daemons.c
@@ -70,7 +70,7 @@
 static void
 start (struct sdm_daemon *daemon)
 {
-  daemon->start++;
+  daemon->start_number++;
   daemon->expected_end = false;
   daemon->restart_us = 0;
   sep_start (daemon->process);
@@ -94,7 +94,7 @@
     .config_ms = (uint32_t)(bounds->config_us / CLK_MS_US),
     .revoke_ms = (uint32_t)(bounds->revoke_us / CLK_MS_US),
     .stop_s = params->stop_s,
-    .retry_window_s = (uint32_t)(bounds->window_us / CLK_S_US),
+    .retry_window_s = (uint32_t)(bounds->retry_window_us / CLK_S_US),
     .retry_ratio = bounds->retry_ratio,
     .retry_slack = (uint32_t)bounds->retry_slack,
   };
--- a/soak/daemons.h
+++ b/soak/daemons.h
@@ -13,10 +13,10 @@
   struct sep_process *process;
   struct spx_proxy *to_store;
   uint32_t index;
-  uint32_t start;    /* number of the process, from 1 */
-  bool in_rotation;  /* the balancer sends new connections */
-  uint32_t misses;   /* probes in a row without a good answer */
-  bool expected_end; /* it was told to stop, or killed */
+  uint32_t start_number; /* of the process, from 1 */
+  bool in_rotation;      /* the balancer sends new connections */
+  uint32_t misses;       /* probes in a row without a good answer */
+  bool expected_end;     /* it was told to stop, or killed */
   bool paused;
   int64_t restart_us; /* 0: none is due */
   struct ncl_exchange *probe;
--- a/soak/judge.c
+++ b/soak/judge.c
@@ -4,24 +4,24 @@
 
 #define STATUS_UNAUTHORIZED 401
 
-/* Of one promise, so many violations are told. */
-#define TOLD_MAX 5
+/* How many violations of one rule are reported. */
+#define VIOLATIONS_PER_RULE_MAX 5
 
 struct judge
 {
   const struct srd_record *record;
   const struct sjd_bounds *bounds;
-  GPtrArray *violations; /* text, owned */
-  uint32_t told;         /* of the promise that is looked at */
+  GPtrArray *violations;    /* text, owned */
+  uint32_t rule_violations; /* of the rule that is being checked */
 };
 
-static void violate (struct judge *judge, const char *format, ...)
+static void add_violation (struct judge *judge, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
 static void
-violate (struct judge *judge, const char *format, ...)
+add_violation (struct judge *judge, const char *format, ...)
 {
-  if (judge->told++ >= TOLD_MAX)
+  if (judge->rule_violations++ >= VIOLATIONS_PER_RULE_MAX)
     {
       return;
     }
@@ -31,17 +31,18 @@
   va_end (arguments);
 }
 
-/* True when nothing was wrong from FROM_US to TO_US, nor shortly before.  */
+/* Returns whether no fault was active between FROM_US and TO_US, nor in the
+   settle time before FROM_US.  */
 static bool
-is_calm (const struct judge *judge, int64_t from_us, int64_t to_us)
+is_fault_free (const struct judge *judge, int64_t from_us, int64_t to_us)
 {
-  const GArray *troubles = judge->record->troubles;
-  int64_t begin_us = from_us - judge->bounds->stable_us;
-  for (guint i = 0; i < troubles->len; i++)
+  const GArray *faults = judge->record->faults;
+  int64_t begin_us = from_us - judge->bounds->settle_us;
+  for (guint i = 0; i < faults->len; i++)
     {
-      const struct srd_trouble *trouble
-          = &g_array_index (troubles, struct srd_trouble, i);
-      if (trouble->begin_us <= to_us && trouble->end_us >= begin_us)
+      const struct srd_fault *fault
+          = &g_array_index (faults, struct srd_fault, i);
+      if (fault->begin_us <= to_us && fault->end_us >= begin_us)
         {
           return false;
         }
@@ -55,35 +56,35 @@
   return request->status >= 200 && request->status < 300;
 }
 
-/* True for the statuses that say that a request hasn't run.  */
+/* Returns whether STATUS tells the caller that the request hasn't run.  */
 static bool
-says_not_run (uint32_t status)
+is_not_run_status (uint32_t status)
 {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-/* Returns the index of the change that added KEY, or that removed it when
-   REMOVED; or -1.  A key is added once.  */
+/* Returns the index of the change that added KEY, or of the one that removed
+   it if REMOVED; -1 if there is none.  A key is added only once.  */
 static int
 find_change (const struct judge *judge, uint32_t key, bool removed)
 {
   const GArray *changes = judge->record->changes;
-  bool there = false;
+  bool published = false;
   for (guint i = 0; i < changes->len; i++)
     {
       const struct srd_change *change
           = &g_array_index (changes, struct srd_change, i);
-      bool has_key = change->extra_key == key;
-      if (has_key != there && there == removed)
+      bool contained = change->extra_key == key;
+      if (contained != published && published == removed)
         {
           return (int)i;
         }
-      there = has_key;
+      published = contained;
     }
   return -1;
 }
 
-/* Returns when the change INDEX was acknowledged, never for -1.  */
+/* Returns when the change INDEX was acknowledged; SRD_NEVER for -1.  */
 static int64_t
 acked_us (const struct judge *judge, int index)
 {
@@ -93,71 +94,75 @@
                    .acked_us;
 }
 
-/* Each caller gets its own whole answer; what can't be repeated runs once, and
-   not after an answer that says it hasn't.  */
+/* A complete successful answer is the one expected for the request.  A booking
+   runs at most once, and not at all if its answer says that it hasn't run.  */
 static void
-judge_answer (struct judge *judge, const struct srd_request *request)
+check_answer (struct judge *judge, const struct srd_request *request)
 {
-  if (is_success (request) && request->complete && !request->right)
+  if (is_success (request) && request->complete && !request->correct)
     {
-      violate (judge, "%s got a wrong answer", request->id);
+      add_violation (judge, "%s got a wrong answer", request->id);
     }
   if (request->kind == SRD_BOOK && request->runs > 1)
     {
-      violate (judge, "%s ran %u times", request->id, request->runs);
+      add_violation (judge, "%s ran %u times", request->id, request->runs);
     }
   if (request->kind == SRD_BOOK && request->runs > 0
-      && says_not_run (request->status))
+      && is_not_run_status (request->status))
     {
-      violate (judge, "%s was told %u and ran", request->id, request->status);
+      add_violation (judge, "%s was told %u and ran", request->id,
+                     request->status);
     }
 }
 
-/* In calm, every request has an answer in time, and none is cut off once it
-   has reached an endpoint.  */
+/* Without faults, every request is answered within the slack after its
+   deadline.  Once an endpoint has run the request, the connection isn't closed
+   before the answer is complete or the deadline has passed.  */
 static void
-judge_end (struct judge *judge, const struct srd_request *request)
+check_completion (struct judge *judge, const struct srd_request *request)
 {
-  int64_t latest_us = request->deadline_us + judge->bounds->answer_us;
-  if (request->left_us != SRD_NEVER)
+  int64_t latest_us = request->deadline_us + judge->bounds->answer_slack_us;
+  if (request->caller_left_us != SRD_NEVER)
     {
       return;
     }
   if (request->ended_us > latest_us
-      && is_calm (judge, request->sent_us, latest_us))
+      && is_fault_free (judge, request->sent_us, latest_us))
     {
-      violate (judge, "%s had no answer in time", request->id);
+      add_violation (judge, "%s had no answer in time", request->id);
     }
   if (request->ended_us < request->deadline_us && !request->complete
       && request->runs > 0
-      && is_calm (judge, request->sent_us, request->ended_us))
+      && is_fault_free (judge, request->sent_us, request->ended_us))
     {
-      violate (judge, "%s was cut off", request->id);
+      add_violation (judge, "%s was cut off", request->id);
     }
 }
 
-/* Work for callers that left stops.  */
+/* Endpoints stop the work for a caller that has closed its connection.  */
 static void
-judge_gone (struct judge *judge, const struct srd_request *request)
+check_abandoned_work (struct judge *judge, const struct srd_request *request)
 {
-  if (request->left_us == SRD_NEVER)
+  if (request->caller_left_us == SRD_NEVER)
     {
       return;
     }
-  int64_t latest_us = request->left_us + judge->bounds->gone_us;
-  bool works = request->at_work > 0 || request->rested_us > latest_us
-               || request->last_arrival_us > latest_us;
-  if (works && is_calm (judge, request->left_us, latest_us))
+  int64_t latest_us = request->caller_left_us + judge->bounds->cancel_us;
+  bool still_runs = request->active_runs > 0
+                    || request->last_run_end_us > latest_us
+                    || request->last_arrival_us > latest_us;
+  if (still_runs && is_fault_free (judge, request->caller_left_us, latest_us))
     {
-      violate (judge, "%s was worked on after its caller had left",
-               request->id);
+      add_violation (judge, "%s was worked on after its caller had left",
+                     request->id);
     }
 }
 
-/* A key that was added is accepted in time, and one that was removed isn't;
-   the latter also by daemons that are out of touch, a little later.  */
+/* Without faults, a new key is accepted and a removed key is rejected within
+   the configuration bound.  Within the revocation bound, a removed key is
+   rejected also by daemons that have lost contact with the store.  */
 static void
-judge_key (struct judge *judge, const struct srd_request *request)
+check_key (struct judge *judge, const struct srd_request *request)
 {
   const struct sjd_bounds *bounds = judge->bounds;
   if (request->key == 0)
@@ -172,82 +177,86 @@
   if (removed_us != SRD_NEVER
       && request->sent_us > removed_us + bounds->revoke_us && ran)
     {
-      violate (judge, "%s ran with a key that was removed", request->id);
+      add_violation (judge, "%s ran with a key that was removed", request->id);
     }
   if (removed_us != SRD_NEVER
       && request->sent_us > removed_us + bounds->config_us && ran
-      && is_calm (judge, removed_us, request->sent_us))
+      && is_fault_free (judge, removed_us, request->sent_us))
     {
-      violate (judge, "%s ran by an older configuration", request->id);
+      add_violation (judge, "%s ran by an older configuration", request->id);
     }
   if (added_us != SRD_NEVER && request->sent_us > added_us + bounds->config_us
       && request->ended_us < removed_us
       && request->status == STATUS_UNAUTHORIZED
-      && is_calm (judge, added_us, request->sent_us))
+      && is_fault_free (judge, added_us, request->sent_us))
     {
-      violate (judge, "%s was denied by an older configuration", request->id);
+      add_violation (judge, "%s was denied by an older configuration",
+                     request->id);
     }
 }
 
-/* Returns the index of the newest change whose effect REQUEST showed, or
-   -1.  */
+/* Returns the index of the change that added the key with which REQUEST ran;
+   -1 if REQUEST hasn't run or has the permanent key.  */
 static int
-shown_change (const struct judge *judge, const struct srd_request *request)
+effective_change (const struct judge *judge, const struct srd_request *request)
 {
   return request->key > 0 && request->runs > 0
              ? find_change (judge, request->key, false)
              : -1;
 }
 
-/* A daemon's configuration never reverts: once a request has run with a key,
-   later ones aren't denied for want of this key or an earlier change.  */
+/* A daemon's configuration never rolls back: once a daemon's process has run a
+   request with a key, it doesn't deny later requests with this key before the
+   key's removal is acknowledged.  */
 static void
-judge_reverts (struct judge *judge)
+check_no_rollback (struct judge *judge)
 {
   const GPtrArray *requests = judge->record->requests;
   for (guint i = 0; i < requests->len; i++)
     {
       const struct srd_request *before = g_ptr_array_index (requests, i);
-      int shown = shown_change (judge, before);
-      for (guint n = i + 1; shown >= 0 && n < requests->len; n++)
+      int change = effective_change (judge, before);
+      for (guint n = i + 1; change >= 0 && n < requests->len; n++)
         {
           const struct srd_request *after = g_ptr_array_index (requests, n);
-          bool same = after->daemon == before->daemon
-                      && after->start == before->start
-                      && after->key == before->key;
+          bool same_daemon_and_key
+              = after->daemon == before->daemon
+                && after->start_number == before->start_number
+                && after->key == before->key;
           int removed = find_change (judge, before->key, true);
-          if (same
+          if (same_daemon_and_key
               && after->sent_us
                      > before->first_run_us + judge->bounds->rollback_us
               && after->status == STATUS_UNAUTHORIZED
               && after->ended_us < acked_us (judge, removed))
             {
-              violate (judge, "%s was denied after %s had run", after->id,
-                       before->id);
+              add_violation (judge, "%s was denied after %s had run",
+                             after->id, before->id);
             }
         }
     }
 }
 
-/* A leaving endpoint gets no new work.  */
+/* Without faults, an endpoint gets no request once it has been listed as
+   leaving for longer than the drain bound.  */
 static void
-judge_leaving (struct judge *judge)
+check_drained_endpoints (struct judge *judge)
 {
   const GArray *arrivals = judge->record->arrivals;
-  const GArray *leavings = judge->record->leavings;
-  for (guint i = 0; i < arrivals->len * leavings->len; i++)
+  const GArray *drains = judge->record->drains;
+  for (guint i = 0; i < arrivals->len * drains->len; i++)
     {
       const struct srd_arrival *arrival
-          = &g_array_index (arrivals, struct srd_arrival, i / leavings->len);
-      const struct srd_leaving *leaving
-          = &g_array_index (leavings, struct srd_leaving, i % leavings->len);
-      if (arrival->endpoint == leaving->endpoint
-          && arrival->at_us > leaving->acked_us + judge->bounds->drain_us
-          && arrival->at_us < leaving->gone_us
-          && is_calm (judge, leaving->acked_us, arrival->at_us))
+          = &g_array_index (arrivals, struct srd_arrival, i / drains->len);
+      const struct srd_drain *drain
+          = &g_array_index (drains, struct srd_drain, i % drains->len);
+      if (arrival->endpoint == drain->endpoint
+          && arrival->at_us > drain->acked_us + judge->bounds->drain_us
+          && arrival->at_us < drain->ended_us
+          && is_fault_free (judge, drain->acked_us, arrival->at_us))
         {
-          violate (judge, "%s was sent to a leaving endpoint",
-                   arrival->request->id);
+          add_violation (judge, "%s was sent to a leaving endpoint",
+                         arrival->request->id);
         }
     }
 }
@@ -258,8 +267,8 @@
   return request->kind == SRD_DRAFT;
 }
 
-/* Returns the number of requests from FROM_US to TO_US to engines, or to
-   services unless DRAFTS.  */
+/* Returns the number of requests sent from FROM_US to TO_US: those to engines
+   if DRAFTS, else those to services.  */
 static uint32_t
 count_requests (const struct judge *judge, bool drafts, int64_t from_us,
                 int64_t to_us)
@@ -275,15 +284,17 @@
   return count;
 }
 
-/* Repeats in any window keep to the budget, for engines and services by
-   themselves.  */
+/* Retries in any window keep to the retry budget; engines (if DRAFTS) and
+   services have a budget each.  The requests are counted in the window that
+   ends at the retry and in those that end half a window and a whole window
+   earlier; the largest number sets the budget.  */
 static void
-judge_budget (struct judge *judge, bool drafts)
+check_retry_budget (struct judge *judge, bool drafts)
 {
   const GArray *arrivals = judge->record->arrivals;
-  int64_t window_us = judge->bounds->window_us;
-  guint first = 0;
-  uint32_t repeats = 0;
+  int64_t retry_window_us = judge->bounds->retry_window_us;
+  guint oldest = 0;
+  uint32_t retries = 0;
   for (guint i = 0; i < arrivals->len; i++)
     {
       const struct srd_arrival *arrival
@@ -292,74 +303,79 @@
         {
           continue;
         }
-      repeats++;
-      for (; g_array_index (arrivals, struct srd_arrival, first).at_us
-             < arrival->at_us - window_us;
-           first++)
+      retries++;
+      for (; g_array_index (arrivals, struct srd_arrival, oldest).at_us
+             < arrival->at_us - retry_window_us;
+           oldest++)
         {
           const struct srd_arrival *old
-              = &g_array_index (arrivals, struct srd_arrival, first);
-          repeats -= is_draft (old->request) == drafts && old->number > 1;
+              = &g_array_index (arrivals, struct srd_arrival, oldest);
+          retries -= is_draft (old->request) == drafts && old->number > 1;
         }
       uint32_t requests = 0;
-      for (int64_t back_us = 0; back_us <= window_us; back_us += window_us / 2)
+      for (int64_t lag_us = 0; lag_us <= retry_window_us;
+           lag_us += retry_window_us / 2)
         {
-          int64_t to_us = arrival->at_us - back_us;
-          requests = MAX (requests, count_requests (judge, drafts,
-                                                    to_us - window_us, to_us));
+          int64_t to_us = arrival->at_us - lag_us;
+          requests = MAX (
+              requests,
+              count_requests (judge, drafts, to_us - retry_window_us, to_us));
         }
-      if (repeats
+      if (retries
           > judge->bounds->retry_ratio * requests + judge->bounds->retry_slack)
         {
-          violate (judge, "%u repeats for %u requests at %s", repeats,
-                   requests, arrival->request->id);
+          add_violation (judge, "%u retries for %u requests at %s", retries,
+                         requests, arrival->request->id);
         }
     }
 }
 
-/* After all troubles everything is served again.  */
+/* After the last fault and the recovery time, every request with the permanent
+   key is served, unless its caller has left.  */
 static void
-judge_recovery (struct judge *judge, const struct srd_request *request)
+check_recovery (struct judge *judge, const struct srd_request *request)
 {
-  if (request->sent_us >= judge->record->settled_us && request->key == 0
-      && request->left_us == SRD_NEVER
-      && !(is_success (request) && request->right)
-      && is_calm (judge, request->sent_us,
-                  MIN (request->ended_us, request->deadline_us)))
+  if (request->sent_us >= judge->record->recovered_us && request->key == 0
+      && request->caller_left_us == SRD_NEVER
+      && !(is_success (request) && request->correct)
+      && is_fault_free (judge, request->sent_us,
+                        MIN (request->ended_us, request->deadline_us)))
     {
-      violate (judge, "%s wasn't served after the last trouble: status %u",
-               request->id, request->status);
+      add_violation (judge, "%s wasn't served after the last fault: status %u",
+                     request->id, request->status);
     }
 }
 
-/* Returns what RECORD shows of broken promises, one text each, at most a few
-   of each kind.  */
+/* Checks RECORD against every rule within BOUNDS.  Returns the violations as
+   texts, at most VIOLATIONS_PER_RULE_MAX for each rule; the caller frees the
+   array, which owns the texts.  */
 GPtrArray *
-sjd_judge (const struct srd_record *record, const struct sjd_bounds *bounds)
+sjd_check (const struct srd_record *record, const struct sjd_bounds *bounds)
 {
-  static void (*const by_request[]) (struct judge *,
-                                     const struct srd_request *)
-      = { judge_answer, judge_end, judge_gone, judge_key, judge_recovery };
+  static void (*const request_rules[]) (struct judge *,
+                                        const struct srd_request *)
+      = { check_answer, check_completion, check_abandoned_work, check_key,
+          check_recovery };
   struct judge judge = {
     .record = record,
     .bounds = bounds,
     .violations = g_ptr_array_new_with_free_func (g_free),
   };
-  for (size_t promise = 0; promise < G_N_ELEMENTS (by_request); promise++)
+  for (size_t rule = 0; rule < G_N_ELEMENTS (request_rules); rule++)
     {
-      judge.told = 0;
+      judge.rule_violations = 0;
       for (guint i = 0; i < record->requests->len; i++)
         {
-          by_request[promise](&judge, g_ptr_array_index (record->requests, i));
+          request_rules[rule](&judge, g_ptr_array_index (record->requests, i));
         }
     }
-  judge.told = 0;
-  judge_reverts (&judge);
-  judge.told = 0;
-  judge_leaving (&judge);
-  judge.told = 0;
-  judge_budget (&judge, true);
-  judge.told = 0;
-  judge_budget (&judge, false);
+  judge.rule_violations = 0;
+  check_no_rollback (&judge);
+  judge.rule_violations = 0;
+  check_drained_endpoints (&judge);
+  judge.rule_violations = 0;
+  check_retry_budget (&judge, true);
+  judge.rule_violations = 0;
+  check_retry_budget (&judge, false);
   return judge.violations;
 }
--- a/soak/record.c
+++ b/soak/record.c
@@ -1,6 +1,6 @@
 #include "soak/record.h"
 
-/* Creates a record of nothing.  */
+/* Returns a new, empty record; free it with srd_destroy.  */
 struct srd_record *
 srd_create (void)
 {
@@ -9,13 +9,13 @@
   record->by_id = g_hash_table_new (g_str_hash, g_str_equal);
   record->arrivals = g_array_new (FALSE, FALSE, sizeof (struct srd_arrival));
   record->changes = g_array_new (FALSE, FALSE, sizeof (struct srd_change));
-  record->leavings = g_array_new (FALSE, FALSE, sizeof (struct srd_leaving));
-  record->troubles = g_array_new (FALSE, FALSE, sizeof (struct srd_trouble));
-  record->settled_us = SRD_NEVER;
+  record->drains = g_array_new (FALSE, FALSE, sizeof (struct srd_drain));
+  record->faults = g_array_new (FALSE, FALSE, sizeof (struct srd_fault));
+  record->recovered_us = SRD_NEVER;
   return record;
 }
 
-/* Frees RECORD.  */
+/* Frees RECORD and the requests in it.  */
 void
 srd_destroy (struct srd_record *record)
 {
@@ -23,30 +23,31 @@
   g_ptr_array_free (record->requests, TRUE);
   g_array_free (record->arrivals, TRUE);
   g_array_free (record->changes, TRUE);
-  g_array_free (record->leavings, TRUE);
-  g_array_free (record->troubles, TRUE);
+  g_array_free (record->drains, TRUE);
+  g_array_free (record->faults, TRUE);
   g_free (record);
 }
 
-/* Adds the request ID, of which nothing has been seen yet.  It stays where it
-   is until the record is freed.  */
+/* Adds a request with the new ID to RECORD and returns it.  The request stays
+   at its address until the record is freed.  */
 struct srd_request *
 srd_add_request (struct srd_record *record, const char *id)
 {
   struct srd_request *request = g_new0 (struct srd_request, 1);
   g_strlcpy (request->id, id, sizeof request->id);
   request->ended_us = SRD_NEVER;
-  request->left_us = SRD_NEVER;
+  request->caller_left_us = SRD_NEVER;
   request->first_run_us = SRD_NEVER;
   g_ptr_array_add (record->requests, request);
   g_hash_table_insert (record->by_id, request->id, request);
   return request;
 }
 
-/* Notes that the request ID has reached ENDPOINT.  */
+/* Records that the request ID arrived at ENDPOINT at NOW_US.  Ignores an
+   unknown ID.  */
 void
-srd_arrived (struct srd_record *record, const char *id, uint32_t endpoint,
-             int64_t now_us)
+srd_add_arrival (struct srd_record *record, const char *id, uint32_t endpoint,
+                 int64_t now_us)
 {
   struct srd_request *request = g_hash_table_lookup (record->by_id, id);
   if (request == NULL)
@@ -62,44 +63,46 @@
   g_array_append_val (record->arrivals, arrival);
 }
 
-/* Notes that an endpoint runs the request ID.  */
+/* Records that an endpoint began to run the request ID at NOW_US.  Ignores an
+   unknown ID.  */
 void
-srd_runs (struct srd_record *record, const char *id, int64_t now_us)
+srd_begin_run (struct srd_record *record, const char *id, int64_t now_us)
 {
   struct srd_request *request = g_hash_table_lookup (record->by_id, id);
   if (request != NULL)
     {
       request->runs++;
-      request->at_work++;
+      request->active_runs++;
       request->first_run_us = MIN (request->first_run_us, now_us);
     }
 }
 
-/* Notes that an endpoint works on the request ID no more.  */
+/* Records that an endpoint stopped running the request ID at NOW_US.  Ignores
+   an unknown ID, and a request that no endpoint runs.  */
 void
-srd_rests (struct srd_record *record, const char *id, int64_t now_us)
+srd_end_run (struct srd_record *record, const char *id, int64_t now_us)
 {
   struct srd_request *request = g_hash_table_lookup (record->by_id, id);
-  if (request != NULL && request->at_work > 0)
+  if (request != NULL && request->active_runs > 0)
     {
-      request->at_work--;
-      request->rested_us = now_us;
+      request->active_runs--;
+      request->last_run_end_us = now_us;
     }
 }
 
-/* Notes that a trouble begins.  Returns its number for srd_end_trouble.  */
+/* Records that a fault began at NOW_US.  Returns its index, which
+   srd_end_fault takes.  */
 guint
-srd_begin_trouble (struct srd_record *record, int64_t now_us)
+srd_begin_fault (struct srd_record *record, int64_t now_us)
 {
-  struct srd_trouble trouble = { .begin_us = now_us, .end_us = SRD_NEVER };
-  g_array_append_val (record->troubles, trouble);
-  return record->troubles->len - 1;
+  struct srd_fault fault = { .begin_us = now_us, .end_us = SRD_NEVER };
+  g_array_append_val (record->faults, fault);
+  return record->faults->len - 1;
 }
 
-/* Notes that TROUBLE ends.  */
+/* Records that the fault with the index FAULT ended at NOW_US.  */
 void
-srd_end_trouble (struct srd_record *record, guint trouble, int64_t now_us)
+srd_end_fault (struct srd_record *record, guint fault, int64_t now_us)
 {
-  g_array_index (record->troubles, struct srd_trouble, trouble).end_us
-      = now_us;
+  g_array_index (record->faults, struct srd_fault, fault).end_us = now_us;
 }
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -42,14 +42,14 @@
 #define STOP_S 5
 
 static const struct sjd_bounds bounds = {
-  .stable_us = 3 * CLK_S_US,
+  .settle_us = 3 * CLK_S_US,
   .config_us = 2 * CLK_S_US,
   .rollback_us = 250 * CLK_MS_US,
   .revoke_us = 3 * CLK_S_US,
   .drain_us = 1 * CLK_S_US,
-  .gone_us = 500 * CLK_MS_US,
-  .answer_us = 1 * CLK_S_US,
-  .window_us = 4 * CLK_S_US,
+  .cancel_us = 500 * CLK_MS_US,
+  .answer_slack_us = 1 * CLK_S_US,
+  .retry_window_us = 4 * CLK_S_US,
   .retry_ratio = 0.2,
   .retry_slack = 40,
 };
@@ -88,7 +88,7 @@
 on_arrived (void *context, uint32_t endpoint, const char *request_id)
 {
   struct soak *soak = context;
-  srd_arrived (soak->record, request_id, endpoint, clk_monotonic_us ());
+  srd_add_arrival (soak->record, request_id, endpoint, clk_monotonic_us ());
 }
 
 static void
@@ -96,14 +96,14 @@
 {
   (void)endpoint;
   struct soak *soak = context;
-  srd_runs (soak->record, request_id, clk_monotonic_us ());
+  srd_begin_run (soak->record, request_id, clk_monotonic_us ());
 }
 
 static void
 on_rests (void *context, const char *request_id)
 {
   struct soak *soak = context;
-  srd_rests (soak->record, request_id, clk_monotonic_us ());
+  srd_end_run (soak->record, request_id, clk_monotonic_us ());
 }
 
 static const struct sfl_observer observer = {
@@ -144,9 +144,8 @@
   if (now_us - soak->ticked_us > STALL_US)
     {
       soak->stalls++;
-      srd_end_trouble (soak->record,
-                       srd_begin_trouble (soak->record, soak->ticked_us),
-                       now_us);
+      srd_end_fault (soak->record,
+                     srd_begin_fault (soak->record, soak->ticked_us), now_us);
     }
   soak->ticked_us = now_us;
   send_requests (soak, now_us);
@@ -266,7 +265,7 @@
       run_for (soak, 50 * CLK_MS_US);
     }
   run_for (soak, RECOVERY_US);
-  soak->record->settled_us = clk_monotonic_us ();
+  soak->record->recovered_us = clk_monotonic_us ();
   run_for (soak, SETTLED_US);
   soak->sends = false;
   while (scl_under_way (soak->callers) > 0)
@@ -279,7 +278,7 @@
 static uint32_t
 judge (struct soak *soak)
 {
-  GPtrArray *violations = sjd_judge (soak->record, &bounds);
+  GPtrArray *violations = sjd_check (soak->record, &bounds);
   const char *fleet = sfl_violation (soak->fleet);
   if (fleet != NULL)
     {
@@ -295,7 +294,7 @@
     {
       const struct srd_request *request
           = g_ptr_array_index (soak->record->requests, i);
-      served += request->right;
+      served += request->correct;
     }
   for (guint i = 0; i < violations->len; i++)
     {
@@ -305,8 +304,7 @@
       "seed %u: %u requests, %u served, %u troubles, %u stalls of the soak "
       "itself, %u violations\n",
       soak->options.seed, soak->record->requests->len, served,
-      soak->record->troubles->len - soak->stalls, soak->stalls,
-      violations->len);
+      soak->record->faults->len - soak->stalls, soak->stalls, violations->len);
   uint32_t count = violations->len;
   g_ptr_array_free (violations, TRUE);
   return count;
--- a/soak/troubles.c
+++ b/soak/troubles.c
@@ -155,7 +155,7 @@
             int64_t now_us)
 {
   struct sfl_fleet *fleet = troubles->params.fleet;
-  GArray *leavings = troubles->params.record->leavings;
+  GArray *drains = troubles->params.record->drains;
   switch (trouble->phase++)
     {
     case 0:
@@ -164,11 +164,11 @@
                       || !sfl_is_alive (fleet, trouble->what);
       if (!trouble->over)
         {
-          struct srd_leaving leaving = { .endpoint = trouble->what,
-                                         .acked_us = now_us,
-                                         .gone_us = SRD_NEVER };
-          g_array_append_val (leavings, leaving);
-          trouble->number = leavings->len - 1;
+          struct srd_drain leaving = { .endpoint = trouble->what,
+                                       .acked_us = now_us,
+                                       .ended_us = SRD_NEVER };
+          g_array_append_val (drains, leaving);
+          trouble->number = drains->len - 1;
           sfl_leave (fleet, trouble->what);
           trouble->due_us = now_us + LEAVING_US + LEAVING_EXTRA_US;
         }
@@ -180,7 +180,7 @@
           sfl_kill (fleet, trouble->what);
           sfl_restart (fleet, trouble->what);
         }
-      g_array_index (leavings, struct srd_leaving, trouble->number).gone_us
+      g_array_index (drains, struct srd_drain, trouble->number).ended_us
           = now_us;
       trouble->over = true;
       break;
@@ -403,7 +403,7 @@
   trouble->due_us = now_us;
   if (!trouble->kind->planned)
     {
-      trouble->number = srd_begin_trouble (troubles->params.record, now_us);
+      trouble->number = srd_begin_fault (troubles->params.record, now_us);
     }
   g_ptr_array_add (troubles->active, trouble);
 }
@@ -432,8 +432,7 @@
         {
           if (!trouble->kind->planned)
             {
-              srd_end_trouble (troubles->params.record, trouble->number,
-                               now_us);
+              srd_end_fault (troubles->params.record, trouble->number, now_us);
             }
           g_ptr_array_remove_index (troubles->active, i);
         }
--- a/test/soak_judge_test.c
+++ b/test/soak_judge_test.c
@@ -1,4 +1,5 @@
-/* The soak's judge catches each broken promise, and nothing else.  */
+/* Checks that the judge of the soak reports a violation of each guarantee, and
+   none for a run that keeps to it.  */
 #include "soak/judge.h"
 
 #include <setjmp.h>
@@ -11,14 +12,14 @@
 #define S_US INT64_C (1000000)
 
 static const struct sjd_bounds bounds = {
-  .stable_us = 3 * S_US,
+  .settle_us = 3 * S_US,
   .config_us = 2 * S_US,
   .rollback_us = S_US / 4,
   .revoke_us = 5 * S_US,
   .drain_us = 2 * S_US,
-  .gone_us = S_US / 2,
-  .answer_us = S_US,
-  .window_us = 10 * S_US,
+  .cancel_us = S_US / 2,
+  .answer_slack_us = S_US,
+  .retry_window_us = 10 * S_US,
   .retry_ratio = 0.2,
   .retry_slack = 2,
 };
@@ -26,209 +27,210 @@
 enum event
 {
   EVENT_NONE,
-  EVENT_REQUEST, /* value: key */
-  EVENT_ARRIVES, /* value: endpoint */
-  EVENT_RUNS,
-  EVENT_RESTS,
-  EVENT_ANSWER, /* value: status; whole and right */
-  EVENT_WRONG,  /* value: status; whole and wrong */
-  EVENT_CUT,    /* value: status */
-  EVENT_LEFT,
-  EVENT_CHANGE,  /* value: extra key */
-  EVENT_LEAVING, /* value: endpoint */
-  EVENT_TROUBLE, /* value: seconds that it takes */
-  EVENT_SETTLED
+  EVENT_REQUEST, /* value: index of the key */
+  EVENT_ARRIVAL, /* value: endpoint */
+  EVENT_RUN_BEGIN,
+  EVENT_RUN_END,
+  EVENT_ANSWER,            /* value: status; complete and correct */
+  EVENT_WRONG_ANSWER,      /* value: status; complete but wrong */
+  EVENT_CONNECTION_CLOSED, /* value: status; the answer is incomplete */
+  EVENT_CALLER_LEFT,
+  EVENT_CONFIG_CHANGE, /* value: index of the extra key */
+  EVENT_DRAIN,         /* value: endpoint */
+  EVENT_FAULT,         /* value: duration in seconds */
+  EVENT_RECOVERED
 };
 
-/* What happened at a time, to the request ID where it has one. */
+/* An event at a time, of the request ID if the event has one. */
 struct step
 {
   double at_s;
   enum event event;
   uint32_t value;
-  const char *id; /* its first letter tells the kind */
+  const char *id; /* kind by the first letter: b booking, l lookup, d draft */
 };
 
 #define STEPS_MAX 12
 
-/* Steps, and the start of the violation that the judge tells; NULL: none. */
+/* The steps of a run, and the prefix of the only violation that the judge must
+   report; NULL: none. */
 static const struct
 {
   const char *name;
   struct step steps[STEPS_MAX];
-  const char *want;
-} rows[] = {
+  const char *expected;
+} cases[] = {
   { "a booking is served",
     { { 1, EVENT_REQUEST, 0, "b1" },
-      { 1.1, EVENT_ARRIVES, 0, "b1" },
-      { 1.1, EVENT_RUNS, 0, "b1" },
-      { 1.2, EVENT_RESTS, 0, "b1" },
+      { 1.1, EVENT_ARRIVAL, 0, "b1" },
+      { 1.1, EVENT_RUN_BEGIN, 0, "b1" },
+      { 1.2, EVENT_RUN_END, 0, "b1" },
       { 1.2, EVENT_ANSWER, 200, "b1" } },
     NULL },
   { "a wrong answer",
-    { { 1, EVENT_REQUEST, 0, "b1" }, { 1.2, EVENT_WRONG, 200, "b1" } },
+    { { 1, EVENT_REQUEST, 0, "b1" }, { 1.2, EVENT_WRONG_ANSWER, 200, "b1" } },
     "b1 got a wrong answer" },
   { "a booking runs twice",
     { { 1, EVENT_REQUEST, 0, "b1" },
-      { 1.1, EVENT_RUNS, 0, "b1" },
-      { 1.3, EVENT_RUNS, 0, "b1" },
+      { 1.1, EVENT_RUN_BEGIN, 0, "b1" },
+      { 1.3, EVENT_RUN_BEGIN, 0, "b1" },
       { 1.4, EVENT_ANSWER, 200, "b1" } },
     "b1 ran 2 times" },
   { "a lookup runs twice",
     { { 1, EVENT_REQUEST, 0, "l1" },
-      { 1.1, EVENT_RUNS, 0, "l1" },
-      { 1.3, EVENT_RUNS, 0, "l1" },
+      { 1.1, EVENT_RUN_BEGIN, 0, "l1" },
+      { 1.3, EVENT_RUN_BEGIN, 0, "l1" },
       { 1.4, EVENT_ANSWER, 200, "l1" } },
     NULL },
   { "a booking that was refused runs",
     { { 1, EVENT_REQUEST, 0, "b1" },
       { 1.1, EVENT_ANSWER, 503, "b1" },
-      { 2, EVENT_RUNS, 0, "b1" } },
+      { 2, EVENT_RUN_BEGIN, 0, "b1" } },
     "b1 was told 503 and ran" },
-  { "a booking that failed says nothing of that kind",
+  { "a booking that ran and failed",
     { { 1, EVENT_REQUEST, 0, "b1" },
-      { 1.1, EVENT_RUNS, 0, "b1" },
+      { 1.1, EVENT_RUN_BEGIN, 0, "b1" },
       { 1.2, EVENT_ANSWER, 502, "b1" } },
     NULL },
   { "no answer",
     { { 1, EVENT_REQUEST, 0, "b1" }, { 9, EVENT_NONE, 0, NULL } },
     "b1 had no answer in time" },
-  { "no answer in trouble",
-    { { 1, EVENT_REQUEST, 0, "b1" }, { 2, EVENT_TROUBLE, 1, NULL } },
+  { "no answer during a fault",
+    { { 1, EVENT_REQUEST, 0, "b1" }, { 2, EVENT_FAULT, 1, NULL } },
     NULL },
   { "a stream is cut off",
     { { 1, EVENT_REQUEST, 0, "d1" },
-      { 1.1, EVENT_RUNS, 0, "d1" },
-      { 2, EVENT_CUT, 200, "d1" } },
+      { 1.1, EVENT_RUN_BEGIN, 0, "d1" },
+      { 2, EVENT_CONNECTION_CLOSED, 200, "d1" } },
     "d1 was cut off" },
-  { "a stream is cut off shortly after a trouble",
-    { { 1, EVENT_TROUBLE, 1, NULL },
+  { "a stream is cut off shortly after a fault",
+    { { 1, EVENT_FAULT, 1, NULL },
       { 3, EVENT_REQUEST, 0, "d1" },
-      { 3.1, EVENT_RUNS, 0, "d1" },
-      { 4, EVENT_CUT, 200, "d1" } },
+      { 3.1, EVENT_RUN_BEGIN, 0, "d1" },
+      { 4, EVENT_CONNECTION_CLOSED, 200, "d1" } },
     NULL },
-  { "a connection that ends before anything ran",
-    { { 1, EVENT_REQUEST, 0, "d1" }, { 2, EVENT_CUT, 0, "d1" } },
+  { "a connection closes before the request runs",
+    { { 1, EVENT_REQUEST, 0, "d1" }, { 2, EVENT_CONNECTION_CLOSED, 0, "d1" } },
     NULL },
-  { "work for a caller that left",
+  { "work continues after the caller has left",
     { { 1, EVENT_REQUEST, 0, "d1" },
-      { 1.1, EVENT_RUNS, 0, "d1" },
-      { 2, EVENT_LEFT, 0, "d1" },
-      { 2.8, EVENT_RESTS, 0, "d1" } },
+      { 1.1, EVENT_RUN_BEGIN, 0, "d1" },
+      { 2, EVENT_CALLER_LEFT, 0, "d1" },
+      { 2.8, EVENT_RUN_END, 0, "d1" } },
     "d1 was worked on" },
-  { "work that stops soon",
+  { "work stops soon after the caller has left",
     { { 1, EVENT_REQUEST, 0, "d1" },
-      { 1.1, EVENT_RUNS, 0, "d1" },
-      { 2, EVENT_LEFT, 0, "d1" },
-      { 2.2, EVENT_RESTS, 0, "d1" } },
+      { 1.1, EVENT_RUN_BEGIN, 0, "d1" },
+      { 2, EVENT_CALLER_LEFT, 0, "d1" },
+      { 2.2, EVENT_RUN_END, 0, "d1" } },
     NULL },
-  { "a removed key after the bound, in trouble",
-    { { 1, EVENT_CHANGE, 7, NULL },
-      { 2, EVENT_CHANGE, 0, NULL },
-      { 3, EVENT_TROUBLE, 9, NULL },
+  { "a removed key after the revocation bound, during a fault",
+    { { 1, EVENT_CONFIG_CHANGE, 7, NULL },
+      { 2, EVENT_CONFIG_CHANGE, 0, NULL },
+      { 3, EVENT_FAULT, 9, NULL },
       { 7.5, EVENT_REQUEST, 7, "b1" },
-      { 7.6, EVENT_RUNS, 0, "b1" },
+      { 7.6, EVENT_RUN_BEGIN, 0, "b1" },
       { 7.7, EVENT_ANSWER, 200, "b1" } },
     "b1 ran with a key that was removed" },
-  { "a removed key within the bound, in trouble",
-    { { 1, EVENT_CHANGE, 7, NULL },
-      { 2, EVENT_CHANGE, 0, NULL },
-      { 3, EVENT_TROUBLE, 9, NULL },
+  { "a removed key within the revocation bound, during a fault",
+    { { 1, EVENT_CONFIG_CHANGE, 7, NULL },
+      { 2, EVENT_CONFIG_CHANGE, 0, NULL },
+      { 3, EVENT_FAULT, 9, NULL },
       { 6.5, EVENT_REQUEST, 7, "b1" },
-      { 6.6, EVENT_RUNS, 0, "b1" },
+      { 6.6, EVENT_RUN_BEGIN, 0, "b1" },
       { 6.7, EVENT_ANSWER, 200, "b1" } },
     NULL },
-  { "a removed key in calm",
-    { { 1, EVENT_CHANGE, 7, NULL },
-      { 2, EVENT_CHANGE, 0, NULL },
+  { "a removed key after the configuration bound, without faults",
+    { { 1, EVENT_CONFIG_CHANGE, 7, NULL },
+      { 2, EVENT_CONFIG_CHANGE, 0, NULL },
       { 4.5, EVENT_REQUEST, 7, "b1" },
-      { 4.6, EVENT_RUNS, 0, "b1" },
+      { 4.6, EVENT_RUN_BEGIN, 0, "b1" },
       { 4.7, EVENT_ANSWER, 200, "b1" } },
     "b1 ran by an older configuration" },
-  { "a new key is denied",
-    { { 1, EVENT_CHANGE, 7, NULL },
+  { "a new key is denied after the configuration bound",
+    { { 1, EVENT_CONFIG_CHANGE, 7, NULL },
       { 3.5, EVENT_REQUEST, 7, "b1" },
       { 3.6, EVENT_ANSWER, 401, "b1" } },
     "b1 was denied by an older configuration" },
-  { "a new key is denied at first",
-    { { 1, EVENT_CHANGE, 7, NULL },
+  { "a new key is denied within the configuration bound",
+    { { 1, EVENT_CONFIG_CHANGE, 7, NULL },
       { 2.5, EVENT_REQUEST, 7, "b1" },
       { 2.6, EVENT_ANSWER, 401, "b1" } },
     NULL },
-  { "a configuration reverts",
-    { { 1, EVENT_CHANGE, 7, NULL },
+  { "a configuration rolls back",
+    { { 1, EVENT_CONFIG_CHANGE, 7, NULL },
       { 1.2, EVENT_REQUEST, 7, "b1" },
-      { 1.3, EVENT_RUNS, 0, "b1" },
+      { 1.3, EVENT_RUN_BEGIN, 0, "b1" },
       { 1.4, EVENT_ANSWER, 200, "b1" },
       { 1.7, EVENT_REQUEST, 7, "b2" },
       { 1.8, EVENT_ANSWER, 401, "b2" } },
     "b2 was denied after b1 had run" },
-  { "work for a leaving endpoint",
-    { { 1, EVENT_LEAVING, 3, NULL },
+  { "a request to a leaving endpoint after the drain bound",
+    { { 1, EVENT_DRAIN, 3, NULL },
       { 4, EVENT_REQUEST, 0, "d1" },
-      { 4, EVENT_ARRIVES, 3, "d1" },
-      { 4, EVENT_RUNS, 0, "d1" },
+      { 4, EVENT_ARRIVAL, 3, "d1" },
+      { 4, EVENT_RUN_BEGIN, 0, "d1" },
       { 5, EVENT_ANSWER, 200, "d1" } },
     "d1 was sent to a leaving endpoint" },
-  { "work that a leaving endpoint still takes",
-    { { 1, EVENT_LEAVING, 3, NULL },
+  { "a request to a leaving endpoint within the drain bound",
+    { { 1, EVENT_DRAIN, 3, NULL },
       { 2.5, EVENT_REQUEST, 0, "d1" },
-      { 2.5, EVENT_ARRIVES, 3, "d1" },
-      { 2.5, EVENT_RUNS, 0, "d1" },
+      { 2.5, EVENT_ARRIVAL, 3, "d1" },
+      { 2.5, EVENT_RUN_BEGIN, 0, "d1" },
       { 5, EVENT_ANSWER, 200, "d1" } },
     NULL },
-  { "too many repeats",
+  { "too many retries",
     { { 1, EVENT_REQUEST, 0, "l1" },
-      { 1, EVENT_ARRIVES, 0, "l1" },
-      { 1.1, EVENT_ARRIVES, 0, "l1" },
-      { 1.2, EVENT_ARRIVES, 0, "l1" },
-      { 1.3, EVENT_ARRIVES, 0, "l1" },
+      { 1, EVENT_ARRIVAL, 0, "l1" },
+      { 1.1, EVENT_ARRIVAL, 0, "l1" },
+      { 1.2, EVENT_ARRIVAL, 0, "l1" },
+      { 1.3, EVENT_ARRIVAL, 0, "l1" },
       { 1.4, EVENT_ANSWER, 502, "l1" } },
-    "3 repeats for 1 requests" },
-  { "repeats at different times",
+    "3 retries for 1 requests" },
+  { "retries in different windows",
     { { 1, EVENT_REQUEST, 0, "l1" },
-      { 1, EVENT_ARRIVES, 0, "l1" },
-      { 1.1, EVENT_ARRIVES, 0, "l1" },
-      { 1.2, EVENT_ARRIVES, 0, "l1" },
+      { 1, EVENT_ARRIVAL, 0, "l1" },
+      { 1.1, EVENT_ARRIVAL, 0, "l1" },
+      { 1.2, EVENT_ARRIVAL, 0, "l1" },
       { 1.4, EVENT_ANSWER, 502, "l1" },
       { 21, EVENT_REQUEST, 0, "l2" },
-      { 21, EVENT_ARRIVES, 0, "l2" },
-      { 21.3, EVENT_ARRIVES, 0, "l2" },
+      { 21, EVENT_ARRIVAL, 0, "l2" },
+      { 21.3, EVENT_ARRIVAL, 0, "l2" },
       { 21.4, EVENT_ANSWER, 502, "l2" } },
     NULL },
-  { "nothing is served after the last trouble",
-    { { 1, EVENT_TROUBLE, 1, NULL },
-      { 5, EVENT_SETTLED, 0, NULL },
+  { "a request is refused after the recovery",
+    { { 1, EVENT_FAULT, 1, NULL },
+      { 5, EVENT_RECOVERED, 0, NULL },
       { 6, EVENT_REQUEST, 0, "b1" },
       { 6.1, EVENT_ANSWER, 503, "b1" } },
-    "b1 wasn't served after the last trouble" },
+    "b1 wasn't served after the last fault" },
 };
 
-/* Notes STEP, which concerns REQUEST.  */
+/* Records STEP, an event of REQUEST other than its start.  */
 static void
-note_request (struct srd_record *record, const struct step *step,
-              struct srd_request *request, int64_t now_us)
+record_request_event (struct srd_record *record, const struct step *step,
+                      struct srd_request *request, int64_t now_us)
 {
   switch (step->event)
     {
-    case EVENT_ARRIVES:
-      srd_arrived (record, step->id, step->value, now_us);
+    case EVENT_ARRIVAL:
+      srd_add_arrival (record, step->id, step->value, now_us);
       break;
-    case EVENT_RUNS:
-      srd_runs (record, step->id, now_us);
+    case EVENT_RUN_BEGIN:
+      srd_begin_run (record, step->id, now_us);
       break;
-    case EVENT_RESTS:
-      srd_rests (record, step->id, now_us);
+    case EVENT_RUN_END:
+      srd_end_run (record, step->id, now_us);
       break;
-    case EVENT_LEFT:
-      request->left_us = now_us;
+    case EVENT_CALLER_LEFT:
+      request->caller_left_us = now_us;
       break;
     case EVENT_ANSWER:
-    case EVENT_WRONG:
-    case EVENT_CUT:
+    case EVENT_WRONG_ANSWER:
+    case EVENT_CONNECTION_CLOSED:
       request->status = step->value;
-      request->complete = step->event != EVENT_CUT;
-      request->right = step->event == EVENT_ANSWER;
+      request->complete = step->event != EVENT_CONNECTION_CLOSED;
+      request->correct = step->event == EVENT_ANSWER;
       request->ended_us = now_us;
       break;
     default:
@@ -250,63 +252,64 @@
 }
 
 static void
-note (struct srd_record *record, const struct step *step)
+record_step (struct srd_record *record, const struct step *step)
 {
   int64_t now_us = (int64_t)(step->at_s * S_US);
   struct srd_change change = { .version = record->changes->len + 1,
                                .extra_key = step->value,
                                .acked_us = now_us };
-  struct srd_leaving leaving
-      = { .endpoint = step->value, .acked_us = now_us, .gone_us = SRD_NEVER };
+  struct srd_drain drain
+      = { .endpoint = step->value, .acked_us = now_us, .ended_us = SRD_NEVER };
   switch (step->event)
     {
     case EVENT_REQUEST:
       add_request (record, step, now_us);
       break;
-    case EVENT_CHANGE:
+    case EVENT_CONFIG_CHANGE:
       g_array_append_val (record->changes, change);
       break;
-    case EVENT_LEAVING:
-      g_array_append_val (record->leavings, leaving);
+    case EVENT_DRAIN:
+      g_array_append_val (record->drains, drain);
       break;
-    case EVENT_TROUBLE:
-      srd_end_trouble (record, srd_begin_trouble (record, now_us),
-                       now_us + step->value * S_US);
+    case EVENT_FAULT:
+      srd_end_fault (record, srd_begin_fault (record, now_us),
+                     now_us + step->value * S_US);
       break;
-    case EVENT_SETTLED:
-      record->settled_us = now_us;
+    case EVENT_RECOVERED:
+      record->recovered_us = now_us;
       break;
     default:
       if (step->id != NULL)
         {
-          note_request (record, step,
-                        g_hash_table_lookup (record->by_id, step->id), now_us);
+          record_request_event (record, step,
+                                g_hash_table_lookup (record->by_id, step->id),
+                                now_us);
         }
       break;
     }
 }
 
 static void
-test_judge (void **state)
+test_violations (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
+  for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       struct srd_record *record = srd_create ();
       for (size_t n = 0; n < STEPS_MAX; n++)
         {
-          note (record, &rows[i].steps[n]);
+          record_step (record, &cases[i].steps[n]);
         }
-      GPtrArray *violations = sjd_judge (record, &bounds);
+      GPtrArray *violations = sjd_check (record, &bounds);
       const char *got
           = violations->len == 0 ? NULL : g_ptr_array_index (violations, 0);
-      bool as_wanted
-          = rows[i].want == NULL
+      bool as_expected
+          = cases[i].expected == NULL
                 ? got == NULL
-                : got != NULL && g_str_has_prefix (got, rows[i].want);
-      if (!as_wanted || violations->len > 1)
+                : got != NULL && g_str_has_prefix (got, cases[i].expected);
+      if (!as_expected || violations->len > 1)
         {
-          fail_msg ("%s: %u violations, %s", rows[i].name, violations->len,
+          fail_msg ("%s: %u violations, %s", cases[i].name, violations->len,
                     got);
         }
       g_ptr_array_free (violations, TRUE);
@@ -317,6 +320,6 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_judge) };
+  const struct CMUnitTest tests[] = { cmocka_unit_test (test_violations) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
