--- a/soak/callers.c
+++ b/soak/callers.c
@@ -6,44 +6,45 @@
 
 #include <string.h>
 
-/* Out of 100: drafts, and bookings; the rest are lookups. */
-#define DRAFTS 40
-#define BOOKINGS 35
+/* Percentages of drafts and bookings; the other requests are lookups. */
+#define DRAFT_PERCENT 40
+#define BOOKING_PERCENT 35
 
-/* Out of 100: requests with the key that comes and goes, requests on
-   connections to daemons that take no new ones, and drafts whose callers leave
-   early. */
-#define EXTRA_KEYS 30
-#define KEPT_CONNECTIONS 30
-#define EARLY_LEAVERS 10
+/* Percentages of requests with the extra key, which publications add and
+   remove; of requests that may go to a daemon out of rotation, as on a
+   connection opened earlier; and of drafts whose callers leave early. */
+#define EXTRA_KEY_PERCENT 30
+#define ANY_DAEMON_PERCENT 30
+#define EARLY_LEAVE_PERCENT 10
 
-/* How long callers that leave early wait, at most. */
-#define LEAVE_LATEST_MS 150
+/* The longest time that a caller waits before it leaves early. */
+#define EARLY_LEAVE_MAX_MS 150
 
-/* What callers say that they wait for, and the time-outs of the stand-in's
-   routes. */
-#define DRAFT_US (5 * CLK_S_US)
-#define CALL_US (600 * CLK_MS_US)
+/* Deadlines of drafts and of calls to services.  The first is also the
+   deadline that every request states; the second is the time-out of the
+   stand-in's routes. */
+#define DRAFT_DEADLINE_US (5 * CLK_S_US)
+#define CALL_DEADLINE_US (600 * CLK_MS_US)
 
-/* Requests that are over their deadline are given up after this time. */
-#define GIVE_UP_US (3 * CLK_S_US)
+/* A caller gives up on a request this long after its deadline. */
+#define GIVE_UP_DELAY_US (3 * CLK_S_US)
 
 struct scl_callers
 {
   struct scl_params params;
   struct ncl_client *client;
-  GPtrArray *calls; /* struct call, under way */
+  GPtrArray *calls; /* struct call, in flight */
   uint32_t next_id;
 };
 
-/* A request under way. */
+/* A request in flight. */
 struct call
 {
   struct scl_callers *callers;
   struct srd_request *request;
   struct ncl_exchange *exchange;
   GString *body;
-  int64_t leaves_us; /* the caller leaves early */
+  int64_t leaves_at_us; /* SRD_NEVER unless the caller leaves early */
 };
 
 static void
@@ -54,9 +55,9 @@
   g_free (call);
 }
 
-/* Returns the answer that REQUEST is to get.  */
+/* Returns the body that the answer to REQUEST must have.  */
 static GString *
-wanted_answer (const struct srd_request *request)
+expected_answer (const struct srd_request *request)
 {
   GString *text = g_string_new (NULL);
   if (request->kind != SRD_DRAFT)
@@ -93,11 +94,11 @@
 {
   struct call *call = context;
   struct srd_request *request = call->request;
-  GString *wanted = wanted_answer (request);
+  GString *expected = expected_answer (request);
   request->complete = true;
-  request->correct = g_string_equal (wanted, call->body);
+  request->correct = g_string_equal (expected, call->body);
   request->ended_us = clk_monotonic_us ();
-  g_string_free (wanted, TRUE);
+  g_string_free (expected, TRUE);
   end_call (call);
 }
 
@@ -117,7 +118,8 @@
   .failed = on_failed,
 };
 
-/* Creates the callers of PARAMS.  */
+/* Returns callers without requests; free them with scl_destroy.  What PARAMS
+   point to must outlive them.  */
 struct scl_callers *
 scl_create (const struct scl_params *params)
 {
@@ -135,7 +137,7 @@
   return callers;
 }
 
-/* Ends what scl_create began.  */
+/* Cancels the requests in flight and frees CALLERS.  */
 void
 scl_destroy (struct scl_callers *callers)
 {
@@ -151,43 +153,49 @@
   g_free (callers);
 }
 
+/* Returns true with a probability of PERCENT in 100.  */
 static bool
-happens (struct scl_callers *callers, gint percent)
+draw_chance (struct scl_callers *callers, gint percent)
 {
   return g_rand_int_range (callers->params.random, 0, 100) < percent;
 }
 
-/* Returns the daemon that the next request goes to.  */
+/* Returns the daemon for the next request: any running one now and then, else
+   the load balancer's choice.  */
 static struct sdm_daemon *
 choose_daemon (struct scl_callers *callers)
 {
   const struct sdm_daemons *daemons = callers->params.daemons;
   uint32_t number = g_rand_int (callers->params.random);
   struct sdm_daemon *any = sdm_at (daemons, number % daemons->list->len);
-  return happens (callers, KEPT_CONNECTIONS) && sep_is_running (any->process)
+  return draw_chance (callers, ANY_DAEMON_PERCENT)
+                 && sep_is_running (any->process)
              ? any
              : sdm_choose (daemons, number);
 }
 
-/* Draws the kind, key and times of REQUEST.  */
+/* Draws the kind, key and deadline of REQUEST, which is sent now.  */
 static void
-draw (struct scl_callers *callers, uint32_t extra_key,
-      struct srd_request *request)
+draw_request (struct scl_callers *callers, uint32_t extra_key,
+              struct srd_request *request)
 {
-  request->kind = happens (callers, DRAFTS) ? SRD_DRAFT
-                  : happens (callers, 100 * BOOKINGS / (100 - DRAFTS))
-                      ? SRD_BOOK
-                      : SRD_LOOK;
-  request->key
-      = extra_key > 0 && happens (callers, EXTRA_KEYS) ? extra_key : 0;
+  request->kind
+      = draw_chance (callers, DRAFT_PERCENT) ? SRD_DRAFT
+        : draw_chance (callers, 100 * BOOKING_PERCENT / (100 - DRAFT_PERCENT))
+            ? SRD_BOOK
+            : SRD_LOOK;
+  request->key = extra_key > 0 && draw_chance (callers, EXTRA_KEY_PERCENT)
+                     ? extra_key
+                     : 0;
   request->sent_us = clk_monotonic_us ();
   request->deadline_us
-      = request->sent_us + (request->kind == SRD_DRAFT ? DRAFT_US : CALL_US);
+      = request->sent_us
+        + (request->kind == SRD_DRAFT ? DRAFT_DEADLINE_US : CALL_DEADLINE_US);
 }
 
-/* Returns the bytes of REQUEST.  */
+/* Returns REQUEST as HTTP; free it with g_free.  */
 static char *
-build (const struct srd_request *request)
+format_request (const struct srd_request *request)
 {
   static const char *const paths[SRD_KINDS] = {
     [SRD_DRAFT] = "/draft/a",
@@ -199,11 +207,12 @@
       "X-Own: 1\r\n" PFH_REQUEST_ID ": %s\r\n" PFH_TIME_LEFT_MS
       ": %ld\r\n%sContent-Length: 4\r\n\r\nbody",
       paths[request->kind], request->key + 1, request->id,
-      (long)(DRAFT_US / CLK_MS_US),
+      (long)(DRAFT_DEADLINE_US / CLK_MS_US),
       request->kind == SRD_DRAFT ? PFH_TOKENS ": 40,24\r\n" : "");
 }
 
-/* Sends one request, with the key EXTRA_KEY now and then unless it is 0.  */
+/* Sends one random request.  A share of the requests has the key EXTRA_KEY,
+   unless that is 0.  Adds the request to the record.  */
 void
 scl_send (struct scl_callers *callers, uint32_t extra_key)
 {
@@ -211,23 +220,23 @@
   g_snprintf (id, sizeof id, "r%u", ++callers->next_id);
   struct sdm_daemon *daemon = choose_daemon (callers);
   struct srd_request *request = srd_add_request (callers->params.record, id);
-  draw (callers, extra_key, request);
+  draw_request (callers, extra_key, request);
   request->daemon = daemon->index;
   request->start_number = daemon->start_number;
   struct call *call = g_new0 (struct call, 1);
   call->callers = callers;
   call->request = request;
   call->body = g_string_new (NULL);
-  call->leaves_us = SRD_NEVER;
-  if (request->kind == SRD_DRAFT && happens (callers, EARLY_LEAVERS))
+  call->leaves_at_us = SRD_NEVER;
+  if (request->kind == SRD_DRAFT && draw_chance (callers, EARLY_LEAVE_PERCENT))
     {
-      call->leaves_us
+      call->leaves_at_us
           = request->sent_us
-            + g_rand_int_range (callers->params.random, 1, LEAVE_LATEST_MS)
+            + g_rand_int_range (callers->params.random, 1, EARLY_LEAVE_MAX_MS)
                   * CLK_MS_US;
     }
   g_ptr_array_add (callers->calls, call);
-  g_autofree char *bytes = build (request);
+  g_autofree char *bytes = format_request (request);
   call->exchange
       = ncl_send (callers->client, sep_caller_address (daemon->process), bytes,
                   strlen (bytes), false, &call_events, call);
@@ -238,7 +247,8 @@
     }
 }
 
-/* Lets callers leave whose time has come.  */
+/* Closes the connections of callers that leave early, and of those whose
+   requests are too far past their deadlines.  */
 void
 scl_expire (struct scl_callers *callers, int64_t now_us)
 {
@@ -246,8 +256,8 @@
   for (guint i = callers->calls->len; i-- > 0;)
     {
       struct call *call = g_ptr_array_index (callers->calls, i);
-      bool leaves = now_us >= call->leaves_us;
-      if (leaves || now_us >= call->request->deadline_us + GIVE_UP_US)
+      bool leaves = now_us >= call->leaves_at_us;
+      if (leaves || now_us >= call->request->deadline_us + GIVE_UP_DELAY_US)
         {
           call->request->caller_left_us = leaves ? now_us : SRD_NEVER;
           ncl_cancel (call->exchange);
@@ -256,9 +266,9 @@
     }
 }
 
-/* Returns the number of requests that have no end yet.  */
+/* Returns the number of requests in flight.  */
 guint
-scl_under_way (const struct scl_callers *callers)
+scl_in_flight (const struct scl_callers *callers)
 {
   return callers->calls->len;
 }
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -1,5 +1,5 @@
-/* The callers of a soak: send requests, on kept and new connections, and check
-   what they get. */
+/* The callers of a soak: send random requests to the daemons, on new and on
+   reused connections, and record each request with its answer. */
 #ifndef SOAK_CALLERS_H
 #define SOAK_CALLERS_H
 
@@ -20,6 +20,6 @@
 void scl_destroy (struct scl_callers *callers);
 void scl_send (struct scl_callers *callers, uint32_t extra_key);
 void scl_expire (struct scl_callers *callers, int64_t now_us);
-guint scl_under_way (const struct scl_callers *callers);
+guint scl_in_flight (const struct scl_callers *callers);
 
 #endif
--- a/soak/daemons.c
+++ b/soak/daemons.c
@@ -5,19 +5,20 @@
 #include <signal.h>
 #include <sys/wait.h>
 
-/* A process that ended is started again after this time. */
-#define RESTART_US (300 * CLK_MS_US)
+/* Delay before a process that has ended is started again. */
+#define RESTART_DELAY_US (300 * CLK_MS_US)
 
-/* Refusals or silences in a row that take a daemon out of rotation. */
-#define MISSES_MAX 2
+/* Failed probes in a row that take a daemon out of rotation. */
+#define FAILED_PROBES_MAX 2
 
 static void
-on_probe_end (struct sdm_daemon *daemon, bool good)
+finish_probe (struct sdm_daemon *daemon, bool good)
 {
   daemon->probe = NULL;
-  daemon->misses = good ? 0 : daemon->misses + 1;
+  daemon->failed_probes = good ? 0 : daemon->failed_probes + 1;
   daemon->in_rotation
-      = good || (daemon->in_rotation && daemon->misses < MISSES_MAX);
+      = good
+        || (daemon->in_rotation && daemon->failed_probes < FAILED_PROBES_MAX);
 }
 
 static bool
@@ -27,12 +28,12 @@
   struct sdm_daemon *daemon = context;
   if (status != 200)
     {
-      daemon->misses++;
-      daemon->in_rotation &= daemon->misses < MISSES_MAX;
+      daemon->failed_probes++;
+      daemon->in_rotation &= daemon->failed_probes < FAILED_PROBES_MAX;
     }
   else
     {
-      daemon->misses = 0;
+      daemon->failed_probes = 0;
       daemon->in_rotation = true;
     }
   return true;
@@ -57,7 +58,7 @@
 on_failed (void *context, enum ncl_failure failure)
 {
   (void)failure;
-  on_probe_end (context, false);
+  finish_probe (context, false);
 }
 
 static const struct ncl_events probe_events = {
@@ -68,11 +69,11 @@
 };
 
 static void
-start (struct sdm_daemon *daemon)
+start_process (struct sdm_daemon *daemon)
 {
   daemon->start_number++;
-  daemon->expected_end = false;
-  daemon->restart_us = 0;
+  daemon->exit_expected = false;
+  daemon->restart_at_us = 0;
   sep_start (daemon->process);
 }
 
@@ -85,11 +86,11 @@
   g_autofree char *name = g_strdup_printf ("entry-%u", index);
   daemon->daemons = daemons;
   daemon->index = index;
-  daemon->to_store = spx_create (params->loop, params->store_address);
+  daemon->store_proxy = spx_create (params->loop, params->store_address);
   const struct sep_params process = {
     .name = name,
     .folder = params->folder,
-    .store_address = spx_address (daemon->to_store),
+    .store_address = spx_address (daemon->store_proxy),
     .drain_ms = (uint32_t)(bounds->drain_us / CLK_MS_US),
     .config_ms = (uint32_t)(bounds->config_us / CLK_MS_US),
     .revoke_ms = (uint32_t)(bounds->revoke_us / CLK_MS_US),
@@ -100,10 +101,11 @@
   };
   daemon->process = sep_create (&process);
   g_ptr_array_add (daemons->list, daemon);
-  start (daemon);
+  start_process (daemon);
 }
 
-/* Starts the daemons that PARAMS, which must outlive them, describe.  */
+/* Starts the daemons that PARAMS describe.  What PARAMS point to must outlive
+   the result, which sdm_destroy frees.  */
 struct sdm_daemons *
 sdm_create (const struct sdm_params *params)
 {
@@ -117,7 +119,7 @@
   daemons->params = *params;
   daemons->client = ncl_create (params->loop, &client);
   daemons->list = g_ptr_array_new ();
-  daemons->complaints = g_ptr_array_new_with_free_func (g_free);
+  daemons->violations = g_ptr_array_new_with_free_func (g_free);
   for (uint32_t i = 0; i < params->count; i++)
     {
       add_daemon (daemons, i);
@@ -125,8 +127,8 @@
   return daemons;
 }
 
-/* Kills the daemons and frees what sdm_create made; their files stay only if
-   KEEP_FILES.  */
+/* Kills the processes of DAEMONS and frees DAEMONS.  Removes the processes'
+   settings and logs unless KEEP_FILES.  */
 void
 sdm_destroy (struct sdm_daemons *daemons, bool keep_files)
 {
@@ -139,22 +141,23 @@
           sep_remove_files (daemon->process);
         }
       sep_destroy (daemon->process);
-      spx_destroy (daemon->to_store);
+      spx_destroy (daemon->store_proxy);
       g_free (daemon);
     }
   g_ptr_array_free (daemons->list, TRUE);
-  g_ptr_array_free (daemons->complaints, TRUE);
+  g_ptr_array_free (daemons->violations, TRUE);
   g_free (daemons);
 }
 
-/* Returns the daemon INDEX.  */
+/* Returns the daemon with INDEX, which must exist.  */
 struct sdm_daemon *
 sdm_at (const struct sdm_daemons *daemons, uint32_t index)
 {
   return g_ptr_array_index (daemons->list, index);
 }
 
-/* Asks each daemon whether it is ready, as the balancer does once a second. */
+/* Sends a readiness probe to each daemon, as the load balancer does once a
+   second.  A probe still in flight counts as failed.  */
 void
 sdm_probe (struct sdm_daemons *daemons)
 {
@@ -166,7 +169,7 @@
       if (daemon->probe != NULL)
         {
           ncl_cancel (daemon->probe);
-          on_probe_end (daemon, false);
+          finish_probe (daemon, false);
         }
       daemon->probe = ncl_send (
           daemons->client, sep_ready_address (daemon->process), request,
@@ -174,68 +177,72 @@
     }
 }
 
-/* Looks after one daemon's process.  */
+/* Checks one daemon's process for its end and its memory, and restarts it when
+   the restart is due.  */
 static void
-watch (struct sdm_daemons *daemons, struct sdm_daemon *daemon, int64_t now_us)
+check_process (struct sdm_daemons *daemons, struct sdm_daemon *daemon,
+               int64_t now_us)
 {
   int status = 0;
   if (sep_has_ended (daemon->process, &status))
     {
       bool clean = WIFEXITED (status) && WEXITSTATUS (status) == 0;
-      if (!daemon->expected_end)
+      if (!daemon->exit_expected)
         {
-          g_ptr_array_add (daemons->complaints,
-                           g_strdup_printf ("daemon %u ended by itself: %s %d",
-                                            daemon->index,
-                                            clean ? "exit" : "status",
-                                            status));
+          g_ptr_array_add (
+              daemons->violations,
+              g_strdup_printf ("daemon %u exited unexpectedly: %s %d",
+                               daemon->index, clean ? "exit" : "status",
+                               status));
         }
-      daemon->restart_us = now_us + RESTART_US;
+      daemon->restart_at_us = now_us + RESTART_DELAY_US;
     }
-  if (daemon->restart_us != 0 && now_us >= daemon->restart_us)
+  if (daemon->restart_at_us != 0 && now_us >= daemon->restart_at_us)
     {
-      start (daemon);
+      start_process (daemon);
     }
   uint64_t memory_kb = sep_memory_kb (daemon->process);
   if (memory_kb > daemons->params.memory_max_kb)
     {
-      g_ptr_array_add (daemons->complaints,
-                       g_strdup_printf ("daemon %u holds %lu kB",
-                                        daemon->index,
-                                        (unsigned long)memory_kb));
+      g_ptr_array_add (
+          daemons->violations,
+          g_strdup_printf ("daemon %u uses %lu kB, above the memory limit",
+                           daemon->index, (unsigned long)memory_kb));
     }
 }
 
-/* Starts processes that have ended again, and notes ends and sizes that nobody
-   asked for.  */
+/* Restarts processes that have ended, and records a violation for each
+   unexpected exit and each process above the memory limit.  Call this often:
+   it also expires probes.  */
 void
-sdm_watch (struct sdm_daemons *daemons, int64_t now_us)
+sdm_check_processes (struct sdm_daemons *daemons, int64_t now_us)
 {
   ncl_expire (daemons->client, now_us);
   for (guint i = 0; i < daemons->list->len; i++)
     {
-      watch (daemons, sdm_at (daemons, i), now_us);
+      check_process (daemons, sdm_at (daemons, i), now_us);
     }
 }
 
-/* Stops DAEMON as planned; it starts again when it has ended.  */
+/* Asks DAEMON to stop (SIGTERM).  The process is restarted after its end.  */
 void
 sdm_stop (struct sdm_daemon *daemon)
 {
-  daemon->expected_end = true;
+  daemon->exit_expected = true;
   sep_signal (daemon->process, SIGTERM);
 }
 
-/* Kills DAEMON; it starts again.  */
+/* Kills DAEMON (SIGKILL).  The process is restarted after its end.  */
 void
 sdm_kill (struct sdm_daemon *daemon)
 {
-  daemon->expected_end = true;
+  daemon->exit_expected = true;
   daemon->paused = false;
   sep_signal (daemon->process, SIGKILL);
 }
 
-/* Pauses DAEMON, or lets it go on.  */
+/* Stops the process of DAEMON (SIGSTOP) if PAUSED, else continues it
+   (SIGCONT).  */
 void
 sdm_pause (struct sdm_daemon *daemon, bool paused)
 {
@@ -243,8 +250,8 @@
   sep_signal (daemon->process, paused ? SIGSTOP : SIGCONT);
 }
 
-/* Returns the daemon to which the balancer sends a new connection, by the
-   random NUMBER: one in rotation, or any if none is.  */
+/* Returns the daemon to which the load balancer sends a new connection: one in
+   rotation, or any if none is, picked by the random NUMBER.  */
 struct sdm_daemon *
 sdm_choose (const struct sdm_daemons *daemons, uint32_t number)
 {
@@ -257,11 +264,11 @@
     {
       return sdm_at (daemons, number % MAX (daemons->list->len, 1));
     }
-  uint32_t left = number % in_rotation;
+  uint32_t skip = number % in_rotation;
   for (guint i = 0;; i++)
     {
       struct sdm_daemon *daemon = sdm_at (daemons, i);
-      if (daemon->in_rotation && left-- == 0)
+      if (daemon->in_rotation && skip-- == 0)
         {
           return daemon;
         }
--- a/soak/daemons.h
+++ b/soak/daemons.h
@@ -1,5 +1,7 @@
-/* The daemons of a soak: processes of their own, each with its own way to the
-   store, and what the platform's balancer believes of them. */
+/* The daemons of a soak: starts each as a process with a proxy in front of the
+   store, restarts those that end, and probes their readiness as the platform's
+   load balancer does.  Processes that exit unexpectedly or exceed the memory
+   limit are reported as violations. */
 #ifndef SOAK_DAEMONS_H
 #define SOAK_DAEMONS_H
 
@@ -8,44 +10,45 @@
 #include "soak/proxy.h"
 #include "standin/entry_process.h"
 
+/* A daemon and its process. */
 struct sdm_daemon
 {
   struct sep_process *process;
-  struct spx_proxy *to_store;
+  struct spx_proxy *store_proxy; /* between the daemon and the store */
   uint32_t index;
-  uint32_t start_number; /* of the process, from 1 */
-  bool in_rotation;      /* the balancer sends new connections */
-  uint32_t misses;       /* probes in a row without a good answer */
-  bool expected_end;     /* it was told to stop, or killed */
+  uint32_t start_number;  /* of the process, from 1 */
+  bool in_rotation;       /* the load balancer sends new connections */
+  uint32_t failed_probes; /* in a row */
+  bool exit_expected;     /* the process was told to stop, or was killed */
   bool paused;
-  int64_t restart_us; /* 0: none is due */
-  struct ncl_exchange *probe;
+  int64_t restart_at_us;      /* 0: no restart is due */
+  struct ncl_exchange *probe; /* NULL: none in flight */
   struct sdm_daemons *daemons;
 };
 
 struct sdm_params
 {
   uv_loop_t *loop;
-  const char *folder;
+  const char *folder; /* for the daemons' settings and logs */
   const char *store_address;
-  uint32_t count;
+  uint32_t count; /* of daemons */
   const struct sjd_bounds *bounds;
-  uint32_t stop_s;
-  uint64_t memory_max_kb;
+  uint32_t stop_s;        /* how long a planned stop may take */
+  uint64_t memory_max_kb; /* for each process */
 };
 
 struct sdm_daemons
 {
   struct sdm_params params;
-  struct ncl_client *client; /* for probes */
+  struct ncl_client *client; /* sends the probes */
   GPtrArray *list;           /* struct sdm_daemon */
-  GPtrArray *complaints;     /* text: ends and sizes that nobody asked for */
+  GPtrArray *violations;     /* text, owned */
 };
 
 struct sdm_daemons *sdm_create (const struct sdm_params *params);
 void sdm_destroy (struct sdm_daemons *daemons, bool keep_files);
 void sdm_probe (struct sdm_daemons *daemons);
-void sdm_watch (struct sdm_daemons *daemons, int64_t now_us);
+void sdm_check_processes (struct sdm_daemons *daemons, int64_t now_us);
 void sdm_stop (struct sdm_daemon *daemon);
 void sdm_kill (struct sdm_daemon *daemon);
 void sdm_pause (struct sdm_daemon *daemon, bool paused);
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -23,7 +23,7 @@
    which counts as a trouble. */
 #define STALL_US (150 * CLK_MS_US)
 #define PROBE_US (1 * CLK_S_US)
-#define WATCH_US (50 * CLK_MS_US)
+#define PROCESS_CHECK_US (50 * CLK_MS_US)
 
 /* Requests a second, unless the command line tells. */
 #define RATE 40
@@ -80,7 +80,7 @@
   uint32_t stalls; /* of this process itself */
   int64_t next_request_us;
   int64_t next_probe_us;
-  int64_t next_watch_us;
+  int64_t next_process_check_us;
   bool sends;
 };
 
@@ -155,10 +155,10 @@
       soak->next_probe_us = now_us + PROBE_US;
       sdm_probe (soak->daemons);
     }
-  if (now_us >= soak->next_watch_us)
+  if (now_us >= soak->next_process_check_us)
     {
-      soak->next_watch_us = now_us + WATCH_US;
-      sdm_watch (soak->daemons, now_us);
+      soak->next_process_check_us = now_us + PROCESS_CHECK_US;
+      sdm_check_processes (soak->daemons, now_us);
     }
   if (soak->troubles != NULL)
     {
@@ -268,7 +268,7 @@
   soak->record->recovered_us = clk_monotonic_us ();
   run_for (soak, SETTLED_US);
   soak->sends = false;
-  while (scl_under_way (soak->callers) > 0)
+  while (scl_in_flight (soak->callers) > 0)
     {
       run_for (soak, 50 * CLK_MS_US);
     }
@@ -284,9 +284,9 @@
     {
       g_ptr_array_add (violations, g_strdup (fleet));
     }
-  for (guint i = 0; i < soak->daemons->complaints->len; i++)
+  for (guint i = 0; i < soak->daemons->violations->len; i++)
     {
-      const char *text = g_ptr_array_index (soak->daemons->complaints, i);
+      const char *text = g_ptr_array_index (soak->daemons->violations, i);
       g_ptr_array_add (violations, g_strdup (text));
     }
   uint32_t served = 0;
--- a/soak/troubles.c
+++ b/soak/troubles.c
@@ -338,7 +338,7 @@
 step_store_way (struct stb_troubles *troubles, struct trouble *trouble,
                 int64_t now_us)
 {
-  spoil (troubles, trouble, now_us, draw_daemon (troubles)->to_store);
+  spoil (troubles, trouble, now_us, draw_daemon (troubles)->store_proxy);
 }
 
 /* Planned work first, which is the first of so many. */
