--- /dev/null
+++ b/soak/injector.c
@@ -0,0 +1,489 @@
+#include "soak/injector.h"
+
+#include "base/clock.h"
+
+#include <signal.h>
+#include <stdio.h>
+
+/* The most disruptions that are active at once, and the mean time between the
+   starts of two. */
+#define ACTIVE_DISRUPTIONS_MAX 4
+#define MEAN_INTERVAL_MS 700
+
+/* Periods of this length alternate: one in which any disruption may begin, and
+   one of planned work alone, in which the judge checks the time limits. */
+#define PERIOD_US (10 * CLK_S_US)
+
+/* How long the host list goes on naming an endpoint that has been killed. */
+#define DEAD_LISTED_US (1200 * CLK_MS_US)
+
+/* A leaving endpoint ends after the drain bound plus this extra time. */
+#define DRAIN_EXTRA_US (700 * CLK_MS_US)
+#define DRAIN_BOUND_US (1000 * CLK_MS_US)
+
+/* Upper limits (exclusive) of the record_index of requests that an endpoint's
+   fault affects, and of the delay of a slow connection. */
+#define FAULTY_REQUESTS_MAX 12
+#define DELAY_MAX_MS 400
+
+struct disruption_kind;
+
+/* An active disruption. */
+struct disruption
+{
+  const struct disruption_kind *kind;
+  guint record_index; /* of the fault, or of the drain */
+  uint32_t target; /* index of a daemon or endpoint; of an endpoint's fault: 1
+                      for the engines, 0 for the services */
+  struct spx_proxy *proxy; /* whose connections are disturbed */
+  int64_t due_us;          /* of the next phase */
+  uint32_t phase;
+  bool ended;
+};
+
+struct stb_injector
+{
+  struct stb_params params;
+  GPtrArray *active; /* struct disruption */
+  int64_t start_us;
+  int64_t next_us;    /* when the next disruption may begin */
+  uint64_t version;   /* of the newest configuration */
+  uint32_t extra_key; /* index of the newest extra key; 0: none yet */
+  bool has_extra_key; /* the newest configuration contains the extra key */
+  bool ending;        /* no disruption begins any more */
+};
+
+/* A kind of disruption: `step' carries out the next phase and sets either when
+   the phase after it is due, or that the disruption has ended. */
+struct disruption_kind
+{
+  const char *name;
+  bool planned;
+  void (*step) (struct stb_injector *, struct disruption *, int64_t now_us);
+};
+
+/* Returns a random number from FIRST to END (exclusive).  */
+static uint32_t
+draw (struct stb_injector *injector, uint32_t first, uint32_t end)
+{
+  return (uint32_t)g_rand_int_range (injector->params.random, (gint32)first,
+                                     (gint32)end);
+}
+
+/* Schedules the next phase of DISRUPTION after a random time from FIRST_MS to
+   END_MS (exclusive).  */
+static void
+schedule_next_phase (struct stb_injector *injector,
+                     struct disruption *disruption, int64_t now_us,
+                     uint32_t first_ms, uint32_t end_ms)
+{
+  disruption->due_us = now_us + draw (injector, first_ms, end_ms) * CLK_MS_US;
+}
+
+static struct sdm_daemon *
+draw_daemon (struct stb_injector *injector)
+{
+  const struct sdm_daemons *daemons = injector->params.daemons;
+  return sdm_at (daemons, draw (injector, 0, daemons->list->len));
+}
+
+static void
+step_stop_daemon (struct stb_injector *injector, struct disruption *disruption,
+                  int64_t now_us)
+{
+  (void)now_us;
+  sdm_stop (draw_daemon (injector));
+  disruption->ended = true;
+}
+
+static void
+step_reload_daemon (struct stb_injector *injector,
+                    struct disruption *disruption, int64_t now_us)
+{
+  (void)now_us;
+  const struct sdm_daemon *daemon = draw_daemon (injector);
+  if (daemon->in_rotation)
+    {
+      sep_signal (daemon->process, SIGHUP);
+    }
+  disruption->ended = true;
+}
+
+/* Publishes a configuration with a new extra key, or with none.  */
+static void
+step_publish_config (struct stb_injector *injector,
+                     struct disruption *disruption, int64_t now_us)
+{
+  injector->has_extra_key = draw (injector, 0, 3) > 0;
+  injector->extra_key += injector->has_extra_key;
+  injector->version += draw (injector, 1, 5);
+  g_autofree char *key = g_strdup_printf ("key-%u", injector->extra_key + 1);
+  sfl_publish (injector->params.fleet, injector->version,
+               injector->has_extra_key ? key : NULL);
+  struct srd_change change = {
+    .version = injector->version,
+    .extra_key = injector->has_extra_key ? injector->extra_key : 0,
+    .acked_us = now_us,
+  };
+  g_array_append_val (injector->params.record->changes, change);
+  disruption->ended = true;
+}
+
+static uint32_t
+draw_endpoint (struct stb_injector *injector)
+{
+  return draw (injector, 0,
+               injector->params.engines + injector->params.services);
+}
+
+/* Returns whether another disruption of the same kind as OWN has the target
+   INDEX.  */
+static bool
+has_disruption (const struct stb_injector *injector,
+                const struct disruption *own, uint32_t index)
+{
+  for (guint i = 0; i < injector->active->len; i++)
+    {
+      const struct disruption *other = g_ptr_array_index (injector->active, i);
+      if (other != own && other->kind->step == own->kind->step
+          && other->target == index)
+        {
+          return true;
+        }
+    }
+  return false;
+}
+
+/* Lists an endpoint as leaving, later ends it and starts a new one.  */
+static void
+step_drain_endpoint (struct stb_injector *injector,
+                     struct disruption *disruption, int64_t now_us)
+{
+  struct sfl_fleet *fleet = injector->params.fleet;
+  GArray *drains = injector->params.record->drains;
+  switch (disruption->phase++)
+    {
+    case 0:
+      disruption->target = draw_endpoint (injector);
+      disruption->ended
+          = has_disruption (injector, disruption, disruption->target)
+            || !sfl_is_alive (fleet, disruption->target);
+      if (!disruption->ended)
+        {
+          struct srd_drain drain = { .endpoint = disruption->target,
+                                     .acked_us = now_us,
+                                     .ended_us = SRD_NEVER };
+          g_array_append_val (drains, drain);
+          disruption->record_index = drains->len - 1;
+          sfl_leave (fleet, disruption->target);
+          disruption->due_us = now_us + DRAIN_BOUND_US + DRAIN_EXTRA_US;
+        }
+      break;
+    case 1:
+      sfl_remove (fleet, disruption->target);
+      if (sfl_is_alive (fleet, disruption->target))
+        {
+          sfl_kill (fleet, disruption->target);
+          sfl_restart (fleet, disruption->target);
+        }
+      g_array_index (drains, struct srd_drain, disruption->record_index)
+          .ended_us
+          = now_us;
+      disruption->ended = true;
+      break;
+    default:
+      break;
+    }
+}
+
+/* Kills an endpoint, removes it from the host list later, and after another
+   pause starts a new one.  */
+static void
+step_kill_endpoint (struct stb_injector *injector,
+                    struct disruption *disruption, int64_t now_us)
+{
+  struct sfl_fleet *fleet = injector->params.fleet;
+  switch (disruption->phase++)
+    {
+    case 0:
+      disruption->target = draw_endpoint (injector);
+      disruption->ended = !sfl_is_alive (fleet, disruption->target);
+      if (!disruption->ended)
+        {
+          sfl_kill (fleet, disruption->target);
+          disruption->due_us = now_us + DEAD_LISTED_US;
+        }
+      break;
+    case 1:
+      sfl_remove (fleet, disruption->target);
+      schedule_next_phase (injector, disruption, now_us, 100, 2500);
+      break;
+    default:
+      if (!sfl_is_alive (fleet, disruption->target))
+        {
+          sfl_restart (fleet, disruption->target);
+        }
+      disruption->ended = true;
+      break;
+    }
+}
+
+static void
+step_kill_daemon (struct stb_injector *injector, struct disruption *disruption,
+                  int64_t now_us)
+{
+  if (disruption->phase++ == 0)
+    {
+      sdm_kill (draw_daemon (injector));
+      schedule_next_phase (injector, disruption, now_us, 500, 1000);
+      return;
+    }
+  disruption->ended = true;
+}
+
+static void
+step_pause_daemon (struct stb_injector *injector,
+                   struct disruption *disruption, int64_t now_us)
+{
+  if (disruption->phase++ == 0)
+    {
+      struct sdm_daemon *daemon = draw_daemon (injector);
+      disruption->target = daemon->index;
+      sdm_pause (daemon, true);
+      schedule_next_phase (injector, disruption, now_us, 200, 4000);
+      return;
+    }
+  sdm_pause (sdm_at (injector->params.daemons, disruption->target), false);
+  disruption->ended = true;
+}
+
+/* Makes the engines or the services mishandle a record_index of their next
+   requests.  */
+static void
+step_endpoint_fault (struct stb_injector *injector,
+                     struct disruption *disruption, int64_t now_us)
+{
+  static const enum sfl_fault faults[2][6] = {
+    { SFL_REFUSES, SFL_FAILS, SFL_CUTS, SFL_TEARS, SFL_FOREIGN, SFL_MUTE },
+    { SFL_REFUSES, SFL_CUTS_MIDWAY, SFL_UNSIGNED, SFL_FOREIGN, SFL_REFUSES,
+      SFL_MUTE },
+  };
+  if (disruption->phase++ == 0)
+    {
+      bool engines = draw (injector, 0, 2) == 1;
+      disruption->target = engines;
+      sfl_set_fault (injector->params.fleet, engines,
+                     faults[engines][draw (injector, 0, 6)],
+                     draw (injector, 1, FAULTY_REQUESTS_MAX));
+      schedule_next_phase (injector, disruption, now_us, 500, 2000);
+      return;
+    }
+  sfl_set_fault (injector->params.fleet, disruption->target == 1, SFL_SOUND,
+                 0);
+  disruption->ended = true;
+}
+
+static void
+step_store_fault (struct stb_injector *injector, struct disruption *disruption,
+                  int64_t now_us)
+{
+  static const enum sfl_store_state states[]
+      = { SFL_STORE_REFUSES, SFL_STORE_SILENT, SFL_STORE_LOSES };
+  if (disruption->phase++ == 0)
+    {
+      sfl_set_store (injector->params.fleet,
+                     states[draw (injector, 0, G_N_ELEMENTS (states))]);
+      schedule_next_phase (injector, disruption, now_us, 300, 6000);
+      return;
+    }
+  sfl_set_store (injector->params.fleet, SFL_STORE_SOUND);
+  disruption->ended = true;
+}
+
+/* Makes the store drop its history, or reassign its partitions.  */
+static void
+step_reset_store (struct stb_injector *injector, struct disruption *disruption,
+                  int64_t now_us)
+{
+  (void)now_us;
+  if (draw (injector, 0, 2) == 0)
+    {
+      sfl_forget_history (injector->params.fleet);
+    }
+  else
+    {
+      sfl_deal_anew (injector->params.fleet);
+    }
+  disruption->ended = true;
+}
+
+/* Disturbs the connections through PROXY, which leads to an endpoint or from a
+   daemon to the store.  */
+static void
+disturb_connections (struct stb_injector *injector,
+                     struct disruption *disruption, int64_t now_us,
+                     struct spx_proxy *proxy)
+{
+  if (disruption->phase++ == 0)
+    {
+      disruption->proxy = proxy;
+      spx_set_mode (proxy, (enum spx_mode)draw (injector, 1, SPX_MODES),
+                    draw (injector, 20, DELAY_MAX_MS) * CLK_MS_US);
+      schedule_next_phase (injector, disruption, now_us, 200, 4000);
+      return;
+    }
+  spx_set_mode (disruption->proxy, SPX_PASS, 0);
+  disruption->ended = true;
+}
+
+static void
+step_endpoint_connection (struct stb_injector *injector,
+                          struct disruption *disruption, int64_t now_us)
+{
+  GPtrArray *proxies = injector->params.proxies;
+  disturb_connections (
+      injector, disruption, now_us,
+      g_ptr_array_index (proxies, draw (injector, 0, proxies->len)));
+}
+
+static void
+step_store_connection (struct stb_injector *injector,
+                       struct disruption *disruption, int64_t now_us)
+{
+  disturb_connections (injector, disruption, now_us,
+                       draw_daemon (injector)->store_proxy);
+}
+
+/* The number of planned kinds, which come first in disruption_kinds. */
+#define PLANNED_KINDS 5
+
+static const struct disruption_kind disruption_kinds[] = {
+  { "stop", true, step_stop_daemon },
+  { "reload", true, step_reload_daemon },
+  { "publish", true, step_publish_config },
+  { "publish", true, step_publish_config },
+  { "leave", true, step_drain_endpoint },
+  { "die", false, step_kill_endpoint },
+  { "kill", false, step_kill_daemon },
+  { "pause", false, step_pause_daemon },
+  { "fault", false, step_endpoint_fault },
+  { "store", false, step_store_fault },
+  { "upset", false, step_reset_store },
+  { "endpoint_way", false, step_endpoint_connection },
+  { "store_way", false, step_store_connection },
+};
+
+/* Returns an injector whose first disruption begins after 1 s; free it with
+   stb_destroy.  What PARAMS point to must outlive it.  */
+struct stb_injector *
+stb_create (const struct stb_params *params)
+{
+  struct stb_injector *injector = g_new0 (struct stb_injector, 1);
+  injector->params = *params;
+  injector->active = g_ptr_array_new_with_free_func (g_free);
+  injector->start_us = clk_monotonic_us ();
+  injector->next_us = injector->start_us + CLK_S_US;
+  injector->version = 1;
+  return injector;
+}
+
+/* Frees INJECTOR, which must have ended.  */
+void
+stb_destroy (struct stb_injector *injector)
+{
+  g_ptr_array_free (injector->active, TRUE);
+  g_free (injector);
+}
+
+static void
+print_step (const struct stb_injector *injector,
+            const struct disruption *disruption, int64_t now_us)
+{
+  if (injector->params.verbose)
+    {
+      printf ("%.3f %s phase %u of %u%s\n", (double)now_us / CLK_S_US,
+              disruption->kind->name, disruption->phase, disruption->target,
+              disruption->ended ? ", ended" : "");
+    }
+}
+
+static void
+begin_disruption (struct stb_injector *injector, int64_t now_us)
+{
+  struct disruption *disruption = g_new0 (struct disruption, 1);
+  bool planned_only = (now_us - injector->start_us) / PERIOD_US % 2 == 1;
+  disruption->kind = &disruption_kinds[draw (
+      injector, 0,
+      planned_only ? PLANNED_KINDS : G_N_ELEMENTS (disruption_kinds))];
+  disruption->due_us = now_us;
+  if (!disruption->kind->planned)
+    {
+      disruption->record_index
+          = srd_begin_fault (injector->params.record, now_us);
+    }
+  g_ptr_array_add (injector->active, disruption);
+}
+
+/* Begins a disruption if one is due, and carries out the phases that are due.
+   Call this on each tick.  */
+void
+stb_tick (struct stb_injector *injector, int64_t now_us)
+{
+  if (!injector->ending && now_us >= injector->next_us
+      && injector->active->len < ACTIVE_DISRUPTIONS_MAX)
+    {
+      injector->next_us
+          = now_us + draw (injector, 1, 2 * MEAN_INTERVAL_MS) * CLK_MS_US;
+      begin_disruption (injector, now_us);
+    }
+  for (guint i = injector->active->len; i-- > 0;)
+    {
+      struct disruption *disruption = g_ptr_array_index (injector->active, i);
+      if (now_us < disruption->due_us)
+        {
+          continue;
+        }
+      disruption->kind->step (injector, disruption, now_us);
+      print_step (injector, disruption, now_us);
+      if (disruption->ended)
+        {
+          if (!disruption->kind->planned)
+            {
+              srd_end_fault (injector->params.record, disruption->record_index,
+                             now_us);
+            }
+          g_ptr_array_remove_index (injector->active, i);
+        }
+    }
+}
+
+/* Begins no more disruptions and ends the active faults early; planned work
+   runs to its end.  */
+void
+stb_end (struct stb_injector *injector, int64_t now_us)
+{
+  injector->ending = true;
+  for (guint i = 0; i < injector->active->len; i++)
+    {
+      struct disruption *disruption = g_ptr_array_index (injector->active, i);
+      if (!disruption->kind->planned)
+        {
+          disruption->due_us = MIN (disruption->due_us, now_us);
+        }
+    }
+}
+
+/* Returns whether stb_end was called and no disruption is active.  */
+bool
+stb_has_ended (const struct stb_injector *injector)
+{
+  return injector->ending && injector->active->len == 0;
+}
+
+/* Returns the index of the newest extra key, even if it has been removed
+   since; 0: there was none yet.  */
+uint32_t
+stb_newest_key (const struct stb_injector *injector)
+{
+  return injector->extra_key;
+}
--- a/soak/proxy.c
+++ b/soak/proxy.c
@@ -7,37 +7,38 @@
 #define BACKLOG 256
 #define READ_BYTES 65536
 
-/* Bytes, or the end of a connection, on their way. */
+/* Bytes to forward, or the end of the connection. */
 struct chunk
 {
-  int64_t due_us;
-  GBytes *bytes; /* NULL: the end */
-  bool reset;    /* ... by a reset */
+  int64_t due_us; /* not forwarded before this time */
+  GBytes *bytes;  /* NULL: the end of the connection */
+  bool reset;     /* the connection ended with a reset */
 };
 
-struct link;
+struct connection;
 
-/* One end of a connection, and what is on its way to it. */
-struct end
+/* One side of a connection, and the chunks to forward to it. */
+struct side
 {
-  struct link *link;
-  struct end *other;
+  struct connection *connection;
+  struct side *other;
   uv_tcp_t tcp;
-  uv_timer_t timer; /* of the first chunk */
+  uv_timer_t timer; /* until the first chunk is due */
   GQueue chunks;    /* struct chunk */
-  bool from_target; /* the chunks come from there */
+  bool from_target; /* the chunks come from the target */
   bool open;        /* connected */
 };
 
-/* One connection through the proxy. */
-struct link
+/* A connection through the proxy: one from the client to the proxy and one
+   from the proxy to the target. */
+struct connection
 {
   struct spx_proxy *proxy;
-  struct end near;
-  struct end far;
+  struct side client_side;
+  struct side target_side;
   uv_connect_t connect;
-  uint32_t handles; /* that aren't closed yet */
-  bool over;
+  uint32_t open_handles; /* of libuv; the connection is freed at 0 */
+  bool closing;
 };
 
 struct spx_proxy
@@ -48,11 +49,11 @@
   struct sockaddr_in target;
   enum spx_mode mode;
   int64_t delay_us;
-  GPtrArray *links;
-  bool over;
+  GPtrArray *connections;
+  bool over; /* unused */
 };
 
-static void flush (struct end *end);
+static void flush (struct side *side);
 
 static void
 free_chunk (gpointer data)
@@ -68,48 +69,49 @@
 static void
 on_closed (uv_handle_t *handle)
 {
-  struct end *end = handle->data;
-  struct link *link = end->link;
-  if (--link->handles == 0)
+  struct side *side = handle->data;
+  struct connection *connection = side->connection;
+  if (--connection->open_handles == 0)
     {
-      g_queue_clear_full (&link->near.chunks, free_chunk);
-      g_queue_clear_full (&link->far.chunks, free_chunk);
-      g_free (link);
+      g_queue_clear_full (&connection->client_side.chunks, free_chunk);
+      g_queue_clear_full (&connection->target_side.chunks, free_chunk);
+      g_free (connection);
     }
 }
 
 static void
-close_end (struct end *end, bool reset)
+close_side (struct side *side, bool reset)
 {
-  uv_close ((uv_handle_t *)&end->timer, on_closed);
-  if (!reset || uv_tcp_close_reset (&end->tcp, on_closed) != 0)
+  uv_close ((uv_handle_t *)&side->timer, on_closed);
+  if (!reset || uv_tcp_close_reset (&side->tcp, on_closed) != 0)
     {
-      if (!uv_is_closing ((uv_handle_t *)&end->tcp))
+      if (!uv_is_closing ((uv_handle_t *)&side->tcp))
         {
-          uv_close ((uv_handle_t *)&end->tcp, on_closed);
+          uv_close ((uv_handle_t *)&side->tcp, on_closed);
         }
     }
 }
 
 static void
-close_link (struct link *link, bool reset)
+close_connection (struct connection *connection, bool reset)
 {
-  if (link->over)
+  if (connection->closing)
     {
       return;
     }
-  link->over = true;
-  g_ptr_array_remove_fast (link->proxy->links, link);
-  close_end (&link->near, reset);
-  close_end (&link->far, reset);
+  connection->closing = true;
+  g_ptr_array_remove_fast (connection->proxy->connections, connection);
+  close_side (&connection->client_side, reset);
+  close_side (&connection->target_side, reset);
 }
 
-/* True while nothing may come through to END.  */
+/* Returns whether the proxy's mode holds back the chunks for SIDE.  */
 static bool
-is_held (const struct end *end)
+is_held_back (const struct side *side)
 {
-  enum spx_mode mode = end->link->proxy->mode;
-  return mode == SPX_SILENT || (mode == SPX_ONE_WAY && end->from_target);
+  enum spx_mode mode = side->connection->proxy->mode;
+  return mode == SPX_HOLD_ALL
+         || (mode == SPX_HOLD_REPLIES && side->from_target);
 }
 
 static void
@@ -120,20 +122,21 @@
   g_free (write);
 }
 
-/* Writes BYTES, owned from now on, to END.  */
+/* Writes BYTES to SIDE and takes ownership of them.  Resets the connection if
+   the write fails.  */
 static void
-send_bytes (struct end *end, GBytes *bytes)
+send_bytes (struct side *side, GBytes *bytes)
 {
   gsize count = 0;
   gconstpointer data = g_bytes_get_data (bytes, &count);
   uv_write_t *write = g_new0 (uv_write_t, 1);
   uv_buf_t buffer = uv_buf_init ((char *)data, (unsigned int)count);
   write->data = bytes;
-  if (uv_write (write, (uv_stream_t *)&end->tcp, &buffer, 1, on_written) != 0)
+  if (uv_write (write, (uv_stream_t *)&side->tcp, &buffer, 1, on_written) != 0)
     {
       g_bytes_unref (bytes);
       g_free (write);
-      close_link (end->link, true);
+      close_connection (side->connection, true);
     }
 }
 
@@ -143,46 +146,48 @@
   flush (timer->data);
 }
 
-/* Sends what is due to END.  */
+/* Forwards the chunks that are due to SIDE, and starts the timer for the next
+   one.  May close the connection.  */
 static void
-flush (struct end *end)
+flush (struct side *side)
 {
   int64_t now_us = clk_monotonic_us ();
-  while (!end->link->over && end->open && !is_held (end)
-         && !g_queue_is_empty (&end->chunks))
+  while (!side->connection->closing && side->open && !is_held_back (side)
+         && !g_queue_is_empty (&side->chunks))
     {
-      struct chunk *chunk = g_queue_peek_head (&end->chunks);
+      struct chunk *chunk = g_queue_peek_head (&side->chunks);
       if (chunk->due_us > now_us)
         {
-          int64_t left_ms = (chunk->due_us - now_us) / CLK_MS_US;
-          uv_timer_start (&end->timer, on_due, (uint64_t)left_ms + 1, 0);
+          int64_t remaining_ms = (chunk->due_us - now_us) / CLK_MS_US;
+          uv_timer_start (&side->timer, on_due, (uint64_t)remaining_ms + 1, 0);
           return;
         }
-      g_queue_pop_head (&end->chunks);
+      g_queue_pop_head (&side->chunks);
       if (chunk->bytes == NULL)
         {
           bool reset = chunk->reset;
           g_free (chunk);
-          close_link (end->link, reset);
+          close_connection (side->connection, reset);
           return;
         }
-      send_bytes (end, g_steal_pointer (&chunk->bytes));
+      send_bytes (side, g_steal_pointer (&chunk->bytes));
       g_free (chunk);
     }
 }
 
-/* Queues BYTES, owned from now on, or the end of the connection for END.  */
+/* Queues BYTES, taking ownership of them, for SIDE; if BYTES is NULL, queues
+   the end of the connection, by a reset if RESET.  */
 static void
-queue (struct end *end, GBytes *bytes, bool reset)
+enqueue (struct side *side, GBytes *bytes, bool reset)
 {
-  const struct spx_proxy *proxy = end->link->proxy;
+  const struct spx_proxy *proxy = side->connection->proxy;
   struct chunk *chunk = g_new0 (struct chunk, 1);
   chunk->due_us
       = clk_monotonic_us () + (proxy->mode == SPX_DELAY ? proxy->delay_us : 0);
   chunk->bytes = bytes;
   chunk->reset = reset;
-  g_queue_push_tail (&end->chunks, chunk);
-  flush (end);
+  g_queue_push_tail (&side->chunks, chunk);
+  flush (side);
 }
 
 static void
@@ -197,50 +202,51 @@
 static void
 on_read (uv_stream_t *stream, ssize_t count, const uv_buf_t *buffer)
 {
-  struct end *end = stream->data;
+  struct side *side = stream->data;
   if (count > 0)
     {
-      queue (end->other, g_bytes_new (buffer->base, (gsize)count), false);
+      enqueue (side->other, g_bytes_new (buffer->base, (gsize)count), false);
     }
   g_free (buffer->base);
   if (count < 0)
     {
       uv_read_stop (stream);
-      queue (end->other, NULL, count != UV_EOF);
+      enqueue (side->other, NULL, count != UV_EOF);
     }
 }
 
 static void
 on_connected (uv_connect_t *connect, int status)
 {
-  struct link *link = connect->data;
-  if (link->over)
+  struct connection *connection = connect->data;
+  if (connection->closing)
     {
       return;
     }
   if (status != 0)
     {
-      close_link (link, true);
+      close_connection (connection, true);
       return;
     }
-  link->far.open = true;
-  uv_read_start ((uv_stream_t *)&link->far.tcp, on_alloc, on_read);
-  flush (&link->far);
+  connection->target_side.open = true;
+  uv_read_start ((uv_stream_t *)&connection->target_side.tcp, on_alloc,
+                 on_read);
+  flush (&connection->target_side);
 }
 
 static void
-init_end (struct link *link, struct end *end, struct end *other,
-          bool from_target)
+init_side (struct connection *connection, struct side *side,
+           struct side *other, bool from_target)
 {
-  end->link = link;
-  end->other = other;
-  end->from_target = from_target;
-  g_queue_init (&end->chunks);
-  uv_tcp_init (link->proxy->loop, &end->tcp);
-  uv_timer_init (link->proxy->loop, &end->timer);
-  end->tcp.data = end;
-  end->timer.data = end;
-  link->handles += 2;
+  side->connection = connection;
+  side->other = other;
+  side->from_target = from_target;
+  g_queue_init (&side->chunks);
+  uv_tcp_init (connection->proxy->loop, &side->tcp);
+  uv_timer_init (connection->proxy->loop, &side->timer);
+  side->tcp.data = side;
+  side->timer.data = side;
+  connection->open_handles += 2;
 }
 
 static void
@@ -251,44 +257,51 @@
     {
       return;
     }
-  struct link *link = g_new0 (struct link, 1);
-  link->proxy = proxy;
-  init_end (link, &link->near, &link->far, true);
-  init_end (link, &link->far, &link->near, false);
-  g_ptr_array_add (proxy->links, link);
-  link->connect.data = link;
-  link->near.open = true;
-  if (uv_accept (listener, (uv_stream_t *)&link->near.tcp) != 0
+  struct connection *connection = g_new0 (struct connection, 1);
+  connection->proxy = proxy;
+  init_side (connection, &connection->client_side, &connection->target_side,
+             true);
+  init_side (connection, &connection->target_side, &connection->client_side,
+             false);
+  g_ptr_array_add (proxy->connections, connection);
+  connection->connect.data = connection;
+  connection->client_side.open = true;
+  if (uv_accept (listener, (uv_stream_t *)&connection->client_side.tcp) != 0
       || proxy->mode == SPX_RESET
-      || uv_tcp_connect (&link->connect, &link->far.tcp,
+      || uv_tcp_connect (&connection->connect, &connection->target_side.tcp,
                          (const struct sockaddr *)&proxy->target, on_connected)
              != 0)
     {
-      close_link (link, true);
+      close_connection (connection, true);
       return;
     }
-  uv_tcp_nodelay (&link->near.tcp, 1);
-  uv_tcp_nodelay (&link->far.tcp, 1);
-  uv_read_start ((uv_stream_t *)&link->near.tcp, on_alloc, on_read);
+  uv_tcp_nodelay (&connection->client_side.tcp, 1);
+  uv_tcp_nodelay (&connection->target_side.tcp, 1);
+  uv_read_start ((uv_stream_t *)&connection->client_side.tcp, on_alloc,
+                 on_read);
 }
 
-/* Opens a proxy on LOOP before TARGET, "IP:PORT".  */
+/* Returns a proxy that listens on a free loopback port and connects to TARGET,
+   "IP:PORT".  Aborts if it can't listen.  Free it with spx_destroy.  */
 struct spx_proxy *
 spx_create (uv_loop_t *loop, const char *target)
 {
   struct spx_proxy *proxy = g_new0 (struct spx_proxy, 1);
-  struct sockaddr_in own;
+  struct sockaddr_in own_address;
   proxy->loop = loop;
-  proxy->links = g_ptr_array_new ();
+  proxy->connections = g_ptr_array_new ();
   proxy->address = g_strdup_printf ("127.0.0.1:%u", sfl_free_port ());
   uv_tcp_init (loop, &proxy->listener);
   proxy->listener.data = proxy;
-  if (!nad_parse (target, &proxy->target) || !nad_parse (proxy->address, &own)
-      || uv_tcp_bind (&proxy->listener, (const struct sockaddr *)&own, 0) != 0
+  if (!nad_parse (target, &proxy->target)
+      || !nad_parse (proxy->address, &own_address)
+      || uv_tcp_bind (&proxy->listener, (const struct sockaddr *)&own_address,
+                      0)
+             != 0
       || uv_listen ((uv_stream_t *)&proxy->listener, BACKLOG, on_connection)
              != 0)
     {
-      g_error ("no proxy before %s", target);
+      g_error ("can't open a proxy to %s", target);
     }
   return proxy;
 }
@@ -299,44 +312,46 @@
   g_free (handle->data);
 }
 
-/* Closes PROXY and its connections.  */
+/* Resets the connections of PROXY and closes it; its memory is freed by the
+   loop, which must run once more.  */
 void
 spx_destroy (struct spx_proxy *proxy)
 {
-  while (proxy->links->len > 0)
+  while (proxy->connections->len > 0)
     {
-      close_link (g_ptr_array_index (proxy->links, 0), true);
+      close_connection (g_ptr_array_index (proxy->connections, 0), true);
     }
-  g_ptr_array_free (proxy->links, TRUE);
+  g_ptr_array_free (proxy->connections, TRUE);
   g_free (proxy->address);
   uv_close ((uv_handle_t *)&proxy->listener, on_listener_closed);
 }
 
-/* Returns where PROXY listens.  */
+/* Returns the address on which PROXY listens, "IP:PORT".  */
 const char *
 spx_address (const struct spx_proxy *proxy)
 {
   return proxy->address;
 }
 
-/* Spoils the connections of PROXY by MODE from now on; DELAY_US is that of
-   SPX_DELAY.  */
+/* Sets the mode of PROXY for open and new connections; DELAY_US is the delay
+   of SPX_DELAY.  Chunks that the new mode doesn't hold back are forwarded.  */
 void
 spx_set_mode (struct spx_proxy *proxy, enum spx_mode mode, int64_t delay_us)
 {
   proxy->mode = mode;
   proxy->delay_us = delay_us;
-  while (mode == SPX_RESET && proxy->links->len > 0)
+  while (mode == SPX_RESET && proxy->connections->len > 0)
     {
-      close_link (g_ptr_array_index (proxy->links, 0), true);
+      close_connection (g_ptr_array_index (proxy->connections, 0), true);
     }
-  for (guint i = proxy->links->len; i-- > 0;)
+  for (guint i = proxy->connections->len; i-- > 0;)
     {
-      struct link *link = g_ptr_array_index (proxy->links, i);
-      flush (&link->near);
-      if (!link->over)
+      struct connection *connection
+          = g_ptr_array_index (proxy->connections, i);
+      flush (&connection->client_side);
+      if (!connection->closing)
         {
-          flush (&link->far);
+          flush (&connection->target_side);
         }
     }
 }
--- a/soak/proxy.h
+++ b/soak/proxy.h
@@ -1,4 +1,5 @@
-/* A TCP proxy on loopback that spoils its connections on demand. */
+/* A TCP proxy on loopback that delays, holds back or resets its connections on
+   demand. */
 #ifndef SOAK_PROXY_H
 #define SOAK_PROXY_H
 
@@ -7,11 +8,11 @@
 
 enum spx_mode
 {
-  SPX_PASS,
-  SPX_DELAY,   /* every byte comes later */
-  SPX_ONE_WAY, /* what the target sends is held back */
-  SPX_SILENT,  /* nothing comes through, either way */
-  SPX_RESET,   /* connections are reset, new ones too */
+  SPX_PASS,         /* forwards unchanged */
+  SPX_DELAY,        /* every byte is forwarded after a delay */
+  SPX_HOLD_REPLIES, /* what the target sends is held back */
+  SPX_HOLD_ALL,     /* nothing is forwarded in either direction */
+  SPX_RESET,        /* open and new connections are reset */
   SPX_MODES
 };
 
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -1,8 +1,12 @@
-/* Runs daemons as processes of their own before the stand-in fleet, lets
-   troubles befall them by a seed, and judges what callers and endpoints saw.
-   ./run soak --seed N --minutes M [--daemons D] [--rate R] [--verbose] */
+/* The soak: runs daemons as separate processes against the stand-in fleet,
+   injects disruptions drawn from a seed, and checks what callers and endpoints
+   observed against the daemons' guarantees.  Prints each violation and a
+   summary line, which `run' reads.  Exits with 1 if there was a violation.
+
+   ./run soak --seed N --minutes M [--daemons D] [--rate R] [--verbose]
+*/
 #include "soak/callers.h"
-#include "soak/troubles.h"
+#include "soak/injector.h"
 
 #include "base/clock.h"
 
@@ -15,31 +19,33 @@
 
 #define ENGINES 6
 #define SERVICES 3
+
+/* Between two events of a stream. */
 #define EVENT_MS 15
 
 #define TICK_MS 10
 
-/* When a tick comes so late, the stand-ins and callers stood still themselves,
-   which counts as a trouble. */
+/* A tick that comes later than this means that this process, with the
+   stand-ins and callers, was stalled; the stall is recorded as a fault. */
 #define STALL_US (150 * CLK_MS_US)
-#define PROBE_US (1 * CLK_S_US)
+#define PROBE_INTERVAL_US (1 * CLK_S_US)
 #define PROCESS_CHECK_US (50 * CLK_MS_US)
 
-/* Requests a second, unless the command line tells. */
-#define RATE 40
+/* Requests a second, unless --rate is given. */
+#define DEFAULT_RATE_PER_S 40
 
-/* The fleet must be placed and ready by then. */
-#define START_US (20 * CLK_S_US)
+/* The time within which the layers must be placed and the daemons be ready. */
+#define START_TIMEOUT_US (20 * CLK_S_US)
 
-/* After the last trouble, the daemons recover for this time; then everything
-   must be served for the other one. */
+/* After the last disruption, the daemons get RECOVERY_US to recover; in
+   SERVE_ALL_US after that, every request must be served. */
 #define RECOVERY_US (8 * CLK_S_US)
-#define SETTLED_US (3 * CLK_S_US)
+#define SERVE_ALL_US (3 * CLK_S_US)
 
-/* The daemons' part of a machine. */
+/* The memory limit of each daemon. */
 #define MEMORY_MAX_KB 65536
 
-#define STOP_S 5
+#define STOP_TIMEOUT_S 5
 
 static const struct sjd_bounds bounds = {
   .settle_us = 3 * CLK_S_US,
@@ -70,29 +76,29 @@
   uv_timer_t tick;
   GRand *random;
   char *folder;
-  GPtrArray *proxies; /* struct spx_proxy, before the endpoints */
+  GPtrArray *proxies; /* struct spx_proxy, in front of the endpoints */
   struct srd_record *record;
   struct sfl_fleet *fleet;
   struct sdm_daemons *daemons;
   struct scl_callers *callers;
-  struct stb_troubles *troubles;
-  int64_t ticked_us;
-  uint32_t stalls; /* of this process itself */
+  struct stb_injector *injector;
+  int64_t ticked_us; /* time of the last tick */
+  uint32_t stalls;   /* of this process */
   int64_t next_request_us;
   int64_t next_probe_us;
   int64_t next_process_check_us;
-  bool sends;
+  bool sending;
 };
 
 static void
-on_arrived (void *context, uint32_t endpoint, const char *request_id)
+on_arrival (void *context, uint32_t endpoint, const char *request_id)
 {
   struct soak *soak = context;
   srd_add_arrival (soak->record, request_id, endpoint, clk_monotonic_us ());
 }
 
 static void
-on_runs (void *context, uint32_t endpoint, const char *request_id)
+on_run_begin (void *context, uint32_t endpoint, const char *request_id)
 {
   (void)endpoint;
   struct soak *soak = context;
@@ -100,21 +106,22 @@
 }
 
 static void
-on_rests (void *context, const char *request_id)
+on_run_end (void *context, const char *request_id)
 {
   struct soak *soak = context;
   srd_end_run (soak->record, request_id, clk_monotonic_us ());
 }
 
 static const struct sfl_observer observer = {
-  .arrived = on_arrived,
-  .runs = on_runs,
-  .rests = on_rests,
+  .arrived = on_arrival,
+  .runs = on_run_begin,
+  .rests = on_run_end,
 };
 
-/* Puts a proxy before the endpoint at ADDRESS.  */
+/* Creates a proxy in front of the endpoint at ADDRESS and returns the address
+   of the proxy, which the fleet lists instead.  */
 static char *
-announce (void *context, const char *address)
+create_endpoint_proxy (void *context, const char *address)
 {
   struct soak *soak = context;
   struct spx_proxy *proxy = spx_create (&soak->loop, address);
@@ -122,17 +129,17 @@
   return g_strdup (spx_address (proxy));
 }
 
-/* Sends the requests that are due, as a random process.  */
+/* Sends the requests that are due, as a Poisson process.  */
 static void
 send_requests (struct soak *soak, int64_t now_us)
 {
-  while (soak->sends && now_us >= soak->next_request_us)
+  while (soak->sending && now_us >= soak->next_request_us)
     {
       double pause_s
           = -log (1 - g_rand_double (soak->random)) / soak->options.rate;
       soak->next_request_us += (int64_t)(pause_s * CLK_S_US) + 1;
       scl_send (soak->callers,
-                soak->troubles == NULL ? 0 : stb_extra_key (soak->troubles));
+                soak->injector == NULL ? 0 : stb_newest_key (soak->injector));
     }
 }
 
@@ -152,7 +159,7 @@
   scl_expire (soak->callers, now_us);
   if (now_us >= soak->next_probe_us)
     {
-      soak->next_probe_us = now_us + PROBE_US;
+      soak->next_probe_us = now_us + PROBE_INTERVAL_US;
       sdm_probe (soak->daemons);
     }
   if (now_us >= soak->next_process_check_us)
@@ -160,9 +167,9 @@
       soak->next_process_check_us = now_us + PROCESS_CHECK_US;
       sdm_check_processes (soak->daemons, now_us);
     }
-  if (soak->troubles != NULL)
+  if (soak->injector != NULL)
     {
-      stb_step (soak->troubles, now_us);
+      stb_tick (soak->injector, now_us);
     }
 }
 
@@ -177,8 +184,9 @@
     }
 }
 
+/* Starts the stand-in fleet, the daemons and the callers.  */
 static void
-begin (struct soak *soak)
+start (struct soak *soak)
 {
   const struct sfl_params fleet = {
     .loop = &soak->loop,
@@ -186,7 +194,7 @@
     .services = SERVICES,
     .event_ms = EVENT_MS,
     .observer = &observer,
-    .announce = announce,
+    .announce = create_endpoint_proxy,
     .context = soak,
   };
   uv_loop_init (&soak->loop);
@@ -203,7 +211,7 @@
     .store_address = sfl_store_address (soak->fleet),
     .count = soak->options.daemons,
     .bounds = &bounds,
-    .stop_s = STOP_S,
+    .stop_s = STOP_TIMEOUT_S,
     .memory_max_kb = MEMORY_MAX_KB,
   };
   soak->daemons = sdm_create (&daemons);
@@ -220,11 +228,12 @@
   uv_timer_start (&soak->tick, on_tick, TICK_MS, TICK_MS);
 }
 
-/* Waits until the engines hold every layer and all daemons are ready.  */
+/* Waits until the engines hold every layer and all daemons are ready.  Returns
+   false if that takes too long.  */
 static bool
 await_ready (struct soak *soak)
 {
-  int64_t end_us = clk_monotonic_us () + START_US;
+  int64_t end_us = clk_monotonic_us () + START_TIMEOUT_US;
   for (;;)
     {
       bool ready = sfl_is_placed (soak->fleet);
@@ -240,11 +249,13 @@
     }
 }
 
-/* Lets requests and troubles come, and in the end requests alone.  */
+/* Sends requests and injects disruptions for the given minutes, then sends
+   requests alone until the daemons have recovered, and waits for the last
+   answers.  */
 static void
-play (struct soak *soak)
+run_workload (struct soak *soak)
 {
-  const struct stb_params troubles = {
+  const struct stb_params injector = {
     .loop = &soak->loop,
     .random = soak->random,
     .fleet = soak->fleet,
@@ -256,27 +267,28 @@
     .verbose = soak->options.verbose,
   };
   soak->next_request_us = clk_monotonic_us ();
-  soak->sends = true;
-  soak->troubles = stb_create (&troubles);
+  soak->sending = true;
+  soak->injector = stb_create (&injector);
   run_for (soak, (int64_t)(soak->options.minutes * 60 * CLK_S_US));
-  stb_end (soak->troubles, clk_monotonic_us ());
-  while (!stb_is_over (soak->troubles))
+  stb_end (soak->injector, clk_monotonic_us ());
+  while (!stb_has_ended (soak->injector))
     {
       run_for (soak, 50 * CLK_MS_US);
     }
   run_for (soak, RECOVERY_US);
   soak->record->recovered_us = clk_monotonic_us ();
-  run_for (soak, SETTLED_US);
-  soak->sends = false;
+  run_for (soak, SERVE_ALL_US);
+  soak->sending = false;
   while (scl_in_flight (soak->callers) > 0)
     {
       run_for (soak, 50 * CLK_MS_US);
     }
 }
 
-/* Tells what was broken.  Returns the number of violations.  */
+/* Checks the record and prints the violations and the summary line.  Returns
+   the number of violations.  */
 static uint32_t
-judge (struct soak *soak)
+report_violations (struct soak *soak)
 {
   GPtrArray *violations = sjd_check (soak->record, &bounds);
   const char *fleet = sfl_violation (soak->fleet);
@@ -310,13 +322,14 @@
   return count;
 }
 
-/* Ends everything that begin began; logs stay if KEEP_FILES.  */
+/* Stops and frees everything that start created.  Keeps the daemons' logs if
+   KEEP_FILES, and prints their folder.  */
 static void
 end (struct soak *soak, bool keep_files)
 {
-  if (soak->troubles != NULL)
+  if (soak->injector != NULL)
     {
-      stb_destroy (soak->troubles);
+      stb_destroy (soak->injector);
     }
   scl_destroy (soak->callers);
   sdm_destroy (soak->daemons, keep_files);
@@ -346,14 +359,16 @@
 static bool
 read_options (int argc, char **argv, struct options *options)
 {
-  struct arg_int *seed = arg_int0 (NULL, "seed", "N", "what befalls them");
-  struct arg_dbl *minutes = arg_dbl0 (NULL, "minutes", "M", "how long (1)");
+  struct arg_int *seed
+      = arg_int0 (NULL, "seed", "N", "seed of the disruptions (1)");
+  struct arg_dbl *minutes
+      = arg_dbl0 (NULL, "minutes", "M", "duration in minutes (1)");
   struct arg_int *daemons
       = arg_int0 (NULL, "daemons", "D", "number of daemons (3)");
   struct arg_dbl *rate
       = arg_dbl0 (NULL, "rate", "R", "requests a second (40)");
   struct arg_lit *verbose
-      = arg_lit0 (NULL, "verbose", "tell what befalls them");
+      = arg_lit0 (NULL, "verbose", "print each step of a disruption");
   struct arg_end *end = arg_end (8);
   void *table[] = { seed, minutes, daemons, rate, verbose, end };
   bool valid = arg_nullcheck (table) == 0;
@@ -362,7 +377,7 @@
       seed->ival[0] = 1;
       minutes->dval[0] = 1;
       daemons->ival[0] = 3;
-      rate->dval[0] = RATE;
+      rate->dval[0] = DEFAULT_RATE_PER_S;
       int errors = arg_parse (argc, argv, table);
       valid = errors == 0 && daemons->ival[0] > 0 && rate->dval[0] > 0;
       if (errors > 0)
@@ -384,19 +399,19 @@
 int
 main (int argc, char **argv)
 {
-  struct soak soak = { .sends = false };
+  struct soak soak = { .sending = false };
   if (!read_options (argc, argv, &soak.options))
     {
       return 2;
     }
   signal (SIGPIPE, SIG_IGN);
-  begin (&soak);
+  start (&soak);
   bool ready = await_ready (&soak);
   uint32_t violations = 1;
   if (ready)
     {
-      play (&soak);
-      violations = judge (&soak);
+      run_workload (&soak);
+      violations = report_violations (&soak);
     }
   else
     {
