--- a/bench/admission.c
+++ b/bench/admission.c
@@ -1,5 +1,6 @@
-/* Time and memory of admission at the largest size: 2,200 accounts, of which
-   all send, against one daemon's share of the load.
+/* Measures the time and memory of admission at the largest size: one daemon of
+   340 with 2,200 active accounts, under three times its share of the load.
+   Prints lines `name value unit target'.
 
      build/release/bench/admission [--seed N]  */
 
@@ -16,9 +17,10 @@
 #define DAEMONS 340
 #define FLEET_TOKENS_PER_S 550000.0
 #define REQUESTS 200000
-#define TOKENS 100
+#define REQUEST_TOKENS 100
 #define QUEUE_LENGTH 256
-/* Arrivals at one daemon at three times its share of 1,600 a second. */
+
+/* Three times one daemon's share of 1,600 requests a second. */
 #define ARRIVALS_PER_S 14
 
 static struct cfg_config *
@@ -53,8 +55,8 @@
   size_t before = mallinfo2 ().uordblks;
   struct adm *adm = adm_create ();
   adm_configure (adm, config, DAEMONS, FLEET_TOKENS_PER_S, 0);
-  size_t bytes = mallinfo2 ().uordblks - before;
-  GQueue under_way = G_QUEUE_INIT;
+  size_t memory_bytes = mallinfo2 ().uordblks - before;
+  GQueue admitted = G_QUEUE_INIT;
   uint32_t refused = 0;
   uint32_t from_queue = 0;
   int64_t start_us = clk_monotonic_us ();
@@ -65,7 +67,7 @@
         .id = id,
         .account = (uint32_t)g_rand_int_range (rand, 0, ACCOUNTS),
         .priority = (uint32_t)id % 3,
-        .tokens = TOKENS,
+        .tokens = REQUEST_TOKENS,
         .deadline_us = now_us + 60 * CLK_S_US,
       };
       struct adm_verdict verdict;
@@ -74,14 +76,14 @@
       refused += decision == ADM_REFUSED;
       if (decision == ADM_ADMITTED)
         {
-          g_queue_push_tail (&under_way, GSIZE_TO_POINTER (id));
+          g_queue_push_tail (&admitted, GSIZE_TO_POINTER (id));
         }
       adm_observe_step (adm, 39 * CLK_MS_US);
-      /* A stream ends for every third arrival. */
-      if (id % 3 == 0 && under_way.length > 0)
+      /* One admitted stream ends for every third arrival. */
+      if (id % 3 == 0 && admitted.length > 0)
         {
-          gsize ended = GPOINTER_TO_SIZE (g_queue_pop_head (&under_way));
-          adm_finish (adm, ended, TOKENS, now_us);
+          gsize finished = GPOINTER_TO_SIZE (g_queue_pop_head (&admitted));
+          adm_finish (adm, finished, REQUEST_TOKENS, now_us);
         }
       uint64_t next;
       while ((decision = adm_next (adm, now_us, &next, &verdict))
@@ -91,16 +93,16 @@
           if (decision == ADM_ADMITTED)
             {
               from_queue++;
-              g_queue_push_tail (&under_way, GSIZE_TO_POINTER (next));
+              g_queue_push_tail (&admitted, GSIZE_TO_POINTER (next));
             }
         }
     }
-  double took_us = (double)(clk_monotonic_us () - start_us);
-  printf ("admission.time_per_request %.3f us -\n", took_us / REQUESTS);
-  printf ("admission.memory %.1f KiB -\n", (double)bytes / 1024);
+  double elapsed_us = (double)(clk_monotonic_us () - start_us);
+  printf ("admission.time_per_request %.3f us -\n", elapsed_us / REQUESTS);
+  printf ("admission.memory %.1f KiB -\n", (double)memory_bytes / 1024);
   printf ("admission.refused_share %.3f 1 -\n", (double)refused / REQUESTS);
   printf ("admission.from_queue %u requests -\n", from_queue);
-  g_queue_clear (&under_way);
+  g_queue_clear (&admitted);
   adm_destroy (adm);
   cfg_config_destroy (config);
   g_rand_free (rand);
--- a/bench/control.c
+++ b/bench/control.c
@@ -1,8 +1,9 @@
-/* Slopes of the cost of membership: machines stepped together without sockets
-   for rising sizes of the fleet, then with real connections on loopback, one
-   thread for each daemon.  Each quantity is fitted by least squares; the fit
-   is printed with the standard error of its slope and its value at the full
-   size.
+/* Measures how the cost of membership grows with the fleet: first the state
+   machines alone, in a simulated network without sockets, then with real
+   connections on loopback, one thread for each daemon.  Fits a line to each
+   quantity by least squares and prints its intercept, its slope with the
+   standard error, and its value at the full size, as lines `name value unit
+   target'.
 
      build/release/bench/control [--seed N]  */
 
@@ -20,7 +21,7 @@
 #include <string.h>
 #include <time.h>
 
-#define FULL_SIZE 340
+#define FULL_SIZE 340 /* daemons */
 #define POINTS_MAX 8
 #define SETTLE_US (180 * CLK_S_US)
 #define MEASURE_US (60 * CLK_S_US)
@@ -28,14 +29,14 @@
 #define LIVE_MEASURE_US (20 * CLK_S_US)
 #define LIVE_TICK_MS 50
 
-/* One measured quantity over rising sizes. */
+/* A quantity, measured for rising sizes of the fleet. */
 struct series
 {
   const char *name;
   const char *unit;
-  double target_at_full; /* 0: none */
-  double x[POINTS_MAX];
-  double y[POINTS_MAX];
+  double target_at_full; /* upper limit at FULL_SIZE; 0: none */
+  double x[POINTS_MAX];  /* members */
+  double y[POINTS_MAX];  /* the quantity, in the unit */
   uint32_t count;
 };
 
@@ -46,6 +47,7 @@
   double slope_error; /* standard error */
 };
 
+/* Adds a point to SERIES and prints it.  */
 static void
 add_point (struct series *series, double x, double y)
 {
@@ -107,6 +109,7 @@
     }
 }
 
+/* Returns the processor time of the calling thread.  */
 static int64_t
 thread_cpu_us (void)
 {
@@ -115,12 +118,12 @@
   return time.tv_sec * CLK_S_US + time.tv_nsec / 1000;
 }
 
-/* Sent and received bytes of all machines.  */
+/* Returns the bytes that all members have sent and received.  */
 static double
-total_bytes (const struct pn_net *net, uint32_t machines)
+total_bytes (const struct pn_net *net, uint32_t members)
 {
   double bytes = 0;
-  for (uint32_t i = 0; i < machines; i++)
+  for (uint32_t i = 0; i < members; i++)
     {
       const struct pn_usage usage = pn_usage (net, i);
       bytes += (double)(usage.bytes + usage.received_bytes);
@@ -128,7 +131,8 @@
   return bytes;
 }
 
-/* Time until all see ALIVE, in steps of 0.1 s; two minutes at most.  */
+/* Runs the network until every member sees ALIVE members as alive, at most two
+   minutes.  Returns the seconds that took, in steps of 0.1 s.  */
 static double
 seconds_until_all_see (struct pn_net *net, uint32_t alive)
 {
@@ -141,7 +145,8 @@
   return (double)(pn_now_us (net) - start_us) / (double)CLK_S_US;
 }
 
-struct stepped
+/* The quantities of the simulated network. */
+struct simulated
 {
   struct series cpu;
   struct series bytes;
@@ -152,37 +157,37 @@
 };
 
 static void
-measure_stepped (struct stepped *out, uint32_t machines, uint32_t seed)
+measure_simulated (struct simulated *out, uint32_t members, uint32_t seed)
 {
   const double seconds = (double)MEASURE_US / (double)CLK_S_US;
-  struct pn_net *net = pn_create (machines, seed);
-  const size_t network = mallinfo2 ().uordblks;
+  struct pn_net *net = pn_create (members, seed);
+  const size_t network_bytes = mallinfo2 ().uordblks;
   pn_start_all (net);
-  const double join_s = seconds_until_all_see (net, machines);
-  const double join_bytes = total_bytes (net, machines) / machines / join_s;
+  const double join_s = seconds_until_all_see (net, members);
+  const double join_bytes = total_bytes (net, members) / members / join_s;
   pn_run (net, SETTLE_US);
   const size_t after = mallinfo2 ().uordblks;
   pn_reset_usage (net);
   const int64_t start_us = thread_cpu_us ();
   pn_run (net, MEASURE_US);
   const double cpu_us = (double)(thread_cpu_us () - start_us);
-  add_point (&out->cpu, machines, cpu_us / machines / seconds);
-  add_point (&out->bytes, machines,
-             total_bytes (net, machines) / machines / seconds);
-  add_point (&out->memory, machines,
-             (double)(after - network) / machines / 1024.0);
-  add_point (&out->join, machines, join_s);
-  add_point (&out->join_bytes, machines, join_bytes);
-  pn_kill (net, machines - 1);
-  add_point (&out->death, machines, seconds_until_all_see (net, machines - 1));
+  add_point (&out->cpu, members, cpu_us / members / seconds);
+  add_point (&out->bytes, members,
+             total_bytes (net, members) / members / seconds);
+  add_point (&out->memory, members,
+             (double)(after - network_bytes) / members / 1024.0);
+  add_point (&out->join, members, join_s);
+  add_point (&out->join_bytes, members, join_bytes);
+  pn_kill (net, members - 1);
+  add_point (&out->death, members, seconds_until_all_see (net, members - 1));
   pn_destroy (net);
 }
 
 static void
-bench_stepped (uint32_t seed)
+bench_simulated (uint32_t seed)
 {
   static const uint32_t sizes[] = { 10, 40, 85, 170, 340 };
-  struct stepped out = {
+  struct simulated out = {
     .cpu = { .name = "membership.cpu", .unit = "us/s" },
     .bytes
     = { .name = "membership.bytes", .unit = "B/s", .target_at_full = 12000 },
@@ -195,7 +200,7 @@
   };
   for (size_t i = 0; i < G_N_ELEMENTS (sizes); i++)
     {
-      measure_stepped (&out, sizes[i], seed);
+      measure_simulated (&out, sizes[i], seed);
     }
   print_fit (&out.cpu);
   print_fit (&out.bytes);
@@ -205,8 +210,8 @@
   print_fit (&out.death);
 }
 
-/* One daemon's control thread with membership alone. */
-struct live
+/* One daemon's control thread, which runs membership only. */
+struct live_daemon
 {
   pthread_t thread;
   GMainContext *context;
@@ -218,17 +223,17 @@
 };
 
 static void
-perform_actions (struct live *live)
+perform_actions (struct live_daemon *daemon)
 {
   struct mem_action action;
-  while (mem_next_action (live->fleet, &action))
+  while (mem_next_action (daemon->fleet, &action))
     {
       if (action.kind == MEM_SEND)
         {
           Peer__Envelope envelope = PEER__ENVELOPE__INIT;
           envelope.body_case = PEER__ENVELOPE__BODY_MEMBERSHIP;
           envelope.membership = action.message;
-          peer_hub_send (live->hub, action.address, &envelope);
+          peer_hub_send (daemon->hub, action.address, &envelope);
         }
       mem_action_clear (&action);
     }
@@ -239,59 +244,59 @@
             const Peer__Envelope *envelope)
 {
   (void)sender;
-  struct live *live = user_data;
+  struct live_daemon *daemon = user_data;
   if (envelope->body_case == PEER__ENVELOPE__BODY_MEMBERSHIP)
     {
-      mem_receive (live->fleet, envelope->membership, clk_monotonic_us ());
-      perform_actions (live);
+      mem_receive (daemon->fleet, envelope->membership, clk_monotonic_us ());
+      perform_actions (daemon);
     }
 }
 
 static gboolean
 on_tick (gpointer data)
 {
-  struct live *live = data;
-  mem_tick (live->fleet, clk_monotonic_us ());
-  perform_actions (live);
+  struct live_daemon *daemon = data;
+  mem_tick (daemon->fleet, clk_monotonic_us ());
+  perform_actions (daemon);
   return G_SOURCE_CONTINUE;
 }
 
 static void
-run_for (struct live *live, int64_t duration_us)
+run_for (struct live_daemon *daemon, int64_t duration_us)
 {
   const int64_t end_us = clk_monotonic_us () + duration_us;
   while (clk_monotonic_us () < end_us)
     {
-      g_main_context_iteration (live->context, TRUE);
+      g_main_context_iteration (daemon->context, TRUE);
     }
 }
 
 static void *
-run_live (void *data)
+run_live_daemon (void *data)
 {
-  struct live *live = data;
+  struct live_daemon *daemon = data;
   const double seconds = (double)LIVE_MEASURE_US / (double)CLK_S_US;
   GSource *timer = g_timeout_source_new (LIVE_TICK_MS);
-  g_source_set_callback (timer, on_tick, live, NULL);
-  g_source_attach (timer, live->context);
-  run_for (live, LIVE_WARM_UP_US);
-  const struct peer_stats before = peer_hub_stats (live->hub);
+  g_source_set_callback (timer, on_tick, daemon, NULL);
+  g_source_attach (timer, daemon->context);
+  run_for (daemon, LIVE_WARM_UP_US);
+  const struct peer_stats before = peer_hub_stats (daemon->hub);
   const int64_t start_us = thread_cpu_us ();
-  run_for (live, LIVE_MEASURE_US);
-  const struct peer_stats after = peer_hub_stats (live->hub);
-  live->cpu_us_per_s = (double)(thread_cpu_us () - start_us) / seconds;
-  live->bytes_per_s = (double)(after.sent_bytes + after.received_bytes
-                               - before.sent_bytes - before.received_bytes)
-                      / seconds;
-  live->connections = after.open;
-  run_for (live, CLK_S_US);
+  run_for (daemon, LIVE_MEASURE_US);
+  const struct peer_stats after = peer_hub_stats (daemon->hub);
+  daemon->cpu_us_per_s = (double)(thread_cpu_us () - start_us) / seconds;
+  daemon->bytes_per_s = (double)(after.sent_bytes + after.received_bytes
+                                 - before.sent_bytes - before.received_bytes)
+                        / seconds;
+  daemon->connections = after.open;
+  run_for (daemon, CLK_S_US);
   g_source_destroy (timer);
   g_source_unref (timer);
   return NULL;
 }
 
 static void
-create_live (struct live *live, uint32_t index, uint32_t seed)
+create_live_daemon (struct live_daemon *daemon, uint32_t index, uint32_t seed)
 {
   char *name = g_strdup_printf ("entry-%03u", index);
   const struct peer_callbacks callbacks = { .on_message = on_message };
@@ -299,22 +304,24 @@
     .name = name, .address = "127.0.0.1:0", .secret = "bench", .incarnation = 1
   };
   GError *error = NULL;
-  live->context = g_main_context_new ();
-  live->hub
-      = peer_hub_create (live->context, &settings, &callbacks, live, &error);
-  if (live->hub == NULL)
+  daemon->context = g_main_context_new ();
+  daemon->hub = peer_hub_create (daemon->context, &settings, &callbacks,
+                                 daemon, &error);
+  if (daemon->hub == NULL)
     {
       g_error ("%s", error->message);
     }
-  const struct mem_settings member = { .name = name,
-                                       .address = peer_hub_address (live->hub),
-                                       .data_centre = "dc-a",
-                                       .incarnation = 1,
-                                       .seed = seed + index };
-  live->fleet = mem_create (&member, clk_monotonic_us ());
+  const struct mem_settings member
+      = { .name = name,
+          .address = peer_hub_address (daemon->hub),
+          .data_centre = "dc-a",
+          .incarnation = 1,
+          .seed = seed + index };
+  daemon->fleet = mem_create (&member, clk_monotonic_us ());
   g_free (name);
 }
 
+/* The quantities of the daemons with real connections. */
 struct live_series
 {
   struct series cpu;
@@ -325,29 +332,29 @@
 static void
 measure_live (struct live_series *out, uint32_t daemons, uint32_t seed)
 {
-  struct live *live = g_new0 (struct live, daemons);
+  struct live_daemon *live = g_new0 (struct live_daemon, daemons);
   const char **addresses = g_new0 (const char *, daemons + 1);
   for (uint32_t i = 0; i < daemons; i++)
     {
-      create_live (&live[i], i, seed);
+      create_live_daemon (&live[i], i, seed);
       addresses[i] = peer_hub_address (live[i].hub);
     }
   for (uint32_t i = 0; i < daemons; i++)
     {
       mem_set_candidates (live[i].fleet, addresses);
-      pthread_create (&live[i].thread, NULL, run_live, &live[i]);
+      pthread_create (&live[i].thread, NULL, run_live_daemon, &live[i]);
     }
-  struct live sum = { 0 };
+  struct live_daemon mean = { 0 };
   for (uint32_t i = 0; i < daemons; i++)
     {
       pthread_join (live[i].thread, NULL);
-      sum.cpu_us_per_s += live[i].cpu_us_per_s / daemons;
-      sum.bytes_per_s += live[i].bytes_per_s / daemons;
-      sum.connections += live[i].connections / daemons;
+      mean.cpu_us_per_s += live[i].cpu_us_per_s / daemons;
+      mean.bytes_per_s += live[i].bytes_per_s / daemons;
+      mean.connections += live[i].connections / daemons;
     }
-  add_point (&out->cpu, daemons, sum.cpu_us_per_s);
-  add_point (&out->bytes, daemons, sum.bytes_per_s);
-  add_point (&out->connections, daemons, sum.connections);
+  add_point (&out->cpu, daemons, mean.cpu_us_per_s);
+  add_point (&out->bytes, daemons, mean.bytes_per_s);
+  add_point (&out->connections, daemons, mean.connections);
   for (uint32_t i = 0; i < daemons; i++)
     {
       peer_hub_destroy (live[i].hub);
@@ -391,7 +398,7 @@
       fprintf (stderr, "usage: control [--seed N]\n");
       return 2;
     }
-  bench_stepped (seed);
+  bench_simulated (seed);
   bench_live (seed);
   return 0;
 }
--- a/bench/placement.c
+++ b/bench/placement.c
@@ -1,5 +1,8 @@
-/* Placement's bound over the compute-only bound for random inventories, the
-   time to plan the largest fleet, and the moves after the loss of one host.
+/* Measures the quality of placements as the rate that they allow, as a share
+   of the compute-only bound: for random inventories, and after the loss of a
+   host. Also measures the ranges to load after a loss, and the time to plan
+   and to repair the placement of the largest fleet.  Prints lines `name value
+   unit target'.
 
      build/release/bench/placement [--seed N]  */
 
@@ -12,7 +15,7 @@
 #include <string.h>
 
 #define INVENTORIES 50
-#define KINDS 4
+#define HOST_KINDS 4
 #define LARGE_RUNNERS 720
 #define LARGE_MODELS 7
 #define LARGE_DATA_CENTRES 7
@@ -30,15 +33,15 @@
   return config;
 }
 
-/* Fills a fleet of four kinds.  A host of mean size holds an eighth up to a
-   half of a mean model, and all together hold every model 2.2 times or
-   more.  */
+/* Returns a random fleet with hosts of four kinds.  A host of mean size holds
+   from an eighth to a half of a mean model, and all hosts together hold every
+   model at least 2.2 times.  */
 static struct cfg_config *
 random_config (GRand *rand, uint32_t models, uint32_t hosts,
                uint32_t data_centres)
 {
   struct cfg_config *config = make_config (models, hosts, data_centres);
-  uint64_t model_mib = 0;
+  uint64_t models_mib = 0;
   for (uint32_t i = 0; i < models; i++)
     {
       struct cfg_model *model = &config->models[i];
@@ -46,39 +49,39 @@
       model->layer_memory_mib = g_rand_int_range (rand, 400, 2000);
       model->activation_bytes = 8192;
       model->demand_weight = g_rand_int_range (rand, 1, 6);
-      model_mib += (uint64_t)model->layers * model->layer_memory_mib;
+      models_mib += (uint64_t)model->layers * model->layer_memory_mib;
     }
-  uint32_t rates[KINDS];
-  double sizes[KINDS];
+  uint32_t rates[HOST_KINDS];
+  double sizes[HOST_KINDS];
   double rate = g_rand_int_range (rand, 1000, 4000);
   double size = 1.0;
-  for (int i = 0; i < KINDS; i++)
+  for (int i = 0; i < HOST_KINDS; i++)
     {
       rates[i] = (uint32_t)rate;
       sizes[i] = size;
       rate *= g_rand_double_range (rand, 1.2, 2.5);
       size *= g_rand_double_range (rand, 1.0, 2.0);
     }
-  double all = 0.0;
+  double total_size = 0.0;
   for (uint32_t i = 0; i < hosts; i++)
     {
-      int kind = g_rand_int_range (rand, 0, KINDS);
+      int kind = g_rand_int_range (rand, 0, HOST_KINDS);
       struct cfg_host *host = &config->hosts[i];
       g_snprintf (host->kind, sizeof host->kind, "kind-%d", kind);
       host->layer_tokens_per_s = rates[kind];
       host->data_centre = g_rand_int_range (rand, 0, data_centres);
       host->service = CFG_NO_INDEX;
-      all += sizes[kind];
+      total_size += sizes[kind];
     }
-  double mean_model = (double)model_mib / models;
-  double part = g_rand_double_range (rand, 1.0 / 8, 1.0 / 2);
-  double all_mib = MAX (mean_model * part * hosts, model_mib * 2.2);
-  double unit = all_mib / all;
+  double mean_model = (double)models_mib / models;
+  double host_share = g_rand_double_range (rand, 1.0 / 8, 1.0 / 2);
+  double total_mib = MAX (mean_model * host_share * hosts, models_mib * 2.2);
+  double mib_per_size = total_mib / total_size;
   for (uint32_t i = 0; i < hosts; i++)
     {
       struct cfg_host *host = &config->hosts[i];
       int kind = host->kind[strlen ("kind-")] - '0';
-      host->memory_mib = (uint32_t)(unit * sizes[kind]);
+      host->memory_mib = (uint32_t)(mib_per_size * sizes[kind]);
     }
   return config;
 }
@@ -91,12 +94,14 @@
   return a < b ? -1 : a > b;
 }
 
-/* Loses each of a few hosts in turn and returns the mean number of loads that
-   the repaired placement asks for; the rate left is added to RATE.  */
+/* Removes one random host from the placement, four times independently, and
+   returns the mean number of ranges that the repaired placement loads.  Adds
+   the mean rate of the repaired placements, as a share of the compute-only
+   bound, to RATE_AFTER_LOSS.  */
 static double
 loads_after_loss (const struct cfg_config *config,
                   const struct pl_placement *placement, GRand *rand,
-                  double *rate)
+                  double *rate_after_loss)
 {
   const int losses = 4;
   double loads = 0.0;
@@ -111,7 +116,8 @@
       loads += (double)moves.loads / losses;
       struct pl_bound bound;
       pl_find_bound (config, usable, after, &bound);
-      *rate += bound.tokens_per_s / bound.compute_only_tokens_per_s / losses;
+      *rate_after_loss
+          += bound.tokens_per_s / bound.compute_only_tokens_per_s / losses;
       pl_destroy (after);
     }
   g_free (usable);
@@ -119,26 +125,27 @@
 }
 
 static void
-measure_random (uint32_t seed, uint32_t least_hosts, uint32_t most_hosts,
-                uint32_t most_models, const char *name)
+measure_random (uint32_t seed, uint32_t hosts_min, uint32_t hosts_max,
+                uint32_t models_max, const char *name)
 {
   double fractions[INVENTORIES];
   double loads = 0.0;
-  double kept = 0.0;
+  double rate_after_loss = 0.0;
   int uncovered = 0;
   GRand *rand = g_rand_new_with_seed (seed);
   for (int i = 0; i < INVENTORIES; i++)
     {
-      uint32_t models = g_rand_int_range (rand, 1, (int)most_models + 1);
+      uint32_t models = g_rand_int_range (rand, 1, (int)models_max + 1);
       uint32_t hosts
-          = g_rand_int_range (rand, (int)least_hosts, (int)most_hosts + 1);
+          = g_rand_int_range (rand, (int)hosts_min, (int)hosts_max + 1);
       struct cfg_config *config = random_config (rand, models, hosts, 3);
       struct pl_placement *placement = pl_plan (config, NULL, NULL);
       struct pl_bound bound;
       pl_find_bound (config, NULL, placement, &bound);
       fractions[i] = bound.tokens_per_s / bound.compute_only_tokens_per_s;
       uncovered += bound.uncovered > 0;
-      loads += loads_after_loss (config, placement, rand, &kept) / INVENTORIES;
+      loads += loads_after_loss (config, placement, rand, &rate_after_loss)
+               / INVENTORIES;
       pl_destroy (placement);
       cfg_config_destroy (config);
     }
@@ -152,11 +159,11 @@
   printf ("placement.%s.without_spare %d inventories -\n", name, uncovered);
   printf ("placement.%s.loads_after_loss %.2f ranges -\n", name, loads);
   printf ("placement.%s.bound_share_after_loss %.4f 1 -\n", name,
-          kept / INVENTORIES);
+          rate_after_loss / INVENTORIES);
 }
 
 static void
-measure_large (uint32_t seed)
+measure_largest (uint32_t seed)
 {
   GRand *rand = g_rand_new_with_seed (seed);
   struct cfg_config *config
@@ -197,6 +204,6 @@
     }
   measure_random (seed, 30, 60, 1, "today");
   measure_random (seed, 12, 80, 7, "mixed");
-  measure_large (seed);
+  measure_largest (seed);
   return 0;
 }
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -1,7 +1,8 @@
-/* Choices of chains compared in an event-driven model: 6 daemons decide from
-   lagging reports over 40 engines of four kinds in three data centres.  Each
-   daemon keeps a fixed number of streams open.  All policies get the same
-   placement, load and timeout.
+/* Compares the router's choice of chains with baseline policies in a
+   discrete-event simulation: 6 daemons choose among 40 engines of four kinds
+   in three data centres, from load reports that lag.  Each daemon keeps a
+   fixed number of streams open.  All policies get the same placement, load and
+   timeout.  Prints lines `name value unit target'.
 
      build/release/bench/routing [--seed N]  */
 
@@ -16,25 +17,25 @@
 
 #define DAEMONS 6
 #define ENGINES 40
-#define KINDS 4
+#define ENGINE_KINDS 4
 #define DATA_CENTRES 3
 #define LAYERS 80
-#define BATCH 8
-#define STREAM_TOKENS 100
+#define BATCH_MAX 8       /* steps in one batch of an engine */
+#define STREAM_TOKENS 100 /* mean length of a stream */
 #define REPORT_INTERVAL_US (500 * CLK_MS_US)
 #define TIMEOUT_US (1000 * CLK_MS_US)
 #define WARM_UP_US (5 * CLK_S_US)
 #define END_US (25 * CLK_S_US)
-#define SEEDS 5
-#define SLOW_FACTOR 10
+#define SEEDS 5        /* runs of each policy */
+#define SLOW_FACTOR 10 /* slowdown of the slow engine */
 
 enum policy
 {
-  POLICY_OURS,
+  POLICY_ROUTER, /* rt_choose_chain */
   POLICY_ROUND_ROBIN,
-  POLICY_NEAREST,
-  POLICY_LEAST_REPORTED,
-  POLICY_TWO_CHOICES,
+  POLICY_NEAREST,        /* the least link delay */
+  POLICY_LEAST_REPORTED, /* the least reported load */
+  POLICY_TWO_CHOICES,    /* the less loaded of two random engines */
   POLICY_COUNT
 };
 
@@ -44,45 +45,45 @@
 
 enum event_kind
 {
-  EVENT_STEP, /* reaches an engine */
-  EVENT_BATCH_DONE,
-  EVENT_ANSWER, /* reaches a daemon */
-  EVENT_REPORT
+  EVENT_STEP,       /* a step arrives at an engine */
+  EVENT_BATCH_DONE, /* an engine completes a batch */
+  EVENT_ANSWER,     /* the answer to a step arrives at a daemon */
+  EVENT_REPORT      /* the daemons receive the engines' load */
 };
 
 struct event
 {
   int64_t at_us;
-  uint64_t order;
+  uint64_t order; /* of creation, among events of the same time */
   enum event_kind kind;
-  uint32_t index; /* stream; EVENT_BATCH_DONE: engine */
+  uint32_t index; /* of the stream; EVENT_BATCH_DONE: of the engine */
 };
 
 struct stream
 {
   uint32_t daemon;
   struct rt_chain chain;
-  uint32_t stage;
+  uint32_t stage; /* current stage of the chain */
   uint32_t tokens_left;
-  int64_t sent_us;
-  int64_t token_at_us;
+  int64_t sent_us; /* when the step was sent */
+  int64_t last_token_us;
 };
 
 struct engine
 {
-  GQueue waiting;
-  GQueue batch;
-  double rate;
+  GQueue waiting; /* indices of streams */
+  GQueue batch;   /* indices of streams, in execution */
+  double rate;    /* layer tokens a second */
 };
 
-struct model
+struct simulation
 {
   enum policy policy;
   struct cfg_config *config;
   struct snap_endpoint endpoints[DAEMONS][ENGINES];
   struct ld_load loads[DAEMONS][ENGINES];
   struct snap snaps[DAEMONS];
-  uint32_t turn[DAEMONS];
+  uint32_t next_turn[DAEMONS]; /* of POLICY_ROUND_ROBIN */
   struct engine engines[ENGINES];
   struct stream *streams;
   uint32_t stream_count;
@@ -90,8 +91,8 @@
   uint64_t order;
   int64_t now_us;
   GRand *rand;
-  uint64_t tokens;
-  GArray *between; /* int64_t */
+  uint64_t tokens;       /* after the warm-up */
+  GArray *token_gaps_us; /* int64_t */
 };
 
 static gint
@@ -108,19 +109,19 @@
 }
 
 static void
-schedule (struct model *model, int64_t at_us, enum event_kind kind,
+schedule (struct simulation *simulation, int64_t at_us, enum event_kind kind,
           uint32_t index)
 {
   struct event *event = g_new0 (struct event, 1);
-  *event = (struct event){ at_us, model->order++, kind, index };
-  g_tree_insert (model->events, event, NULL);
+  *event = (struct event){ at_us, simulation->order++, kind, index };
+  g_tree_insert (simulation->events, event, NULL);
 }
 
 static struct cfg_config *
 make_config (GRand *rand)
 {
-  static const uint32_t rates[KINDS] = { 6000, 12000, 18000, 30000 };
-  static const uint32_t memories[KINDS] = { 16, 20, 27, 40 };
+  static const uint32_t rates[ENGINE_KINDS] = { 6000, 12000, 18000, 30000 };
+  static const uint32_t memories[ENGINE_KINDS] = { 16, 20, 27, 40 };
   struct cfg_config *config = cfg_config_create ();
   config->models = g_new0 (struct cfg_model, 1);
   config->model_count = 1;
@@ -135,7 +136,7 @@
   config->host_count = ENGINES;
   for (uint32_t i = 0; i < ENGINES; i++)
     {
-      int kind = g_rand_int_range (rand, 0, KINDS);
+      int kind = g_rand_int_range (rand, 0, ENGINE_KINDS);
       config->hosts[i].layer_tokens_per_s = rates[kind];
       config->hosts[i].memory_mib = memories[kind];
       config->hosts[i].data_centre = i % DATA_CENTRES;
@@ -143,7 +144,8 @@
   return config;
 }
 
-/* Delays and bandwidths between data centres differ up to a hundredfold.  */
+/* Sets the delay and bandwidth of the link between the data centres FROM and
+   TO, which differ up to a hundredfold.  */
 static void
 set_link (struct snap_endpoint *endpoint, uint32_t from, uint32_t to)
 {
@@ -154,56 +156,60 @@
   endpoint->link_bytes_per_s = bytes_per_s[distance];
 }
 
-/* Returns how much worse the policy holds ENDPOINT of DAEMON to be.  */
+/* Returns the cost that the baseline policy assigns to the endpoint INDEX from
+   DAEMON's view; the lowest is chosen.  */
 static double
-badness (struct model *model, uint32_t daemon, uint32_t index)
+cost (struct simulation *simulation, uint32_t daemon, uint32_t index)
 {
-  const struct ld_load *load = &model->loads[daemon][index];
-  switch (model->policy)
+  const struct ld_load *load = &simulation->loads[daemon][index];
+  switch (simulation->policy)
     {
     case POLICY_NEAREST:
-      return (double)model->endpoints[daemon][index].link_delay_us
-             + g_rand_double (model->rand);
+      return (double)simulation->endpoints[daemon][index].link_delay_us
+             + g_rand_double (simulation->rand);
     case POLICY_LEAST_REPORTED:
     case POLICY_TWO_CHOICES:
       return load->reported_running + load->reported_queued
-             + g_rand_double (model->rand);
+             + g_rand_double (simulation->rand);
     default:
       return 0.0;
     }
 }
 
-/* Chooses one of HOLDERS by a baseline.  */
+/* Returns the engine of HOLDERS that the baseline policy chooses.  */
 static uint32_t
-choose_holder (struct model *model, uint32_t daemon, const GArray *holders)
+choose_holder (struct simulation *simulation, uint32_t daemon,
+               const GArray *holders)
 {
   uint32_t best = UINT32_MAX;
-  double best_badness = 0.0;
-  if (model->policy == POLICY_ROUND_ROBIN)
+  double best_cost = 0.0;
+  if (simulation->policy == POLICY_ROUND_ROBIN)
     {
-      uint32_t turn = model->turn[daemon]++;
-      return g_array_index (holders, uint32_t, turn % holders->len);
+      uint32_t next_turn = simulation->next_turn[daemon]++;
+      return g_array_index (holders, uint32_t, next_turn % holders->len);
     }
-  bool two = model->policy == POLICY_TWO_CHOICES;
+  bool two = simulation->policy == POLICY_TWO_CHOICES;
   for (uint32_t i = 0; i < (two ? 2 : holders->len); i++)
     {
-      uint32_t at = two ? (uint32_t)g_rand_int_range (model->rand, 0,
+      uint32_t at = two ? (uint32_t)g_rand_int_range (simulation->rand, 0,
                                                       (gint32)holders->len)
                         : i;
       uint32_t index = g_array_index (holders, uint32_t, at);
-      double value = badness (model, daemon, index);
-      if (best == UINT32_MAX || value < best_badness)
+      double value = cost (simulation, daemon, index);
+      if (best == UINT32_MAX || value < best_cost)
         {
           best = index;
-          best_badness = value;
+          best_cost = value;
         }
     }
   return best;
 }
 
-/* Builds a chain stage by stage; the placement's boundaries are common.  */
+/* Builds CHAIN stage by stage by the baseline policy.  All engines that hold a
+   first layer hold the same range, as the placement's boundaries are common.
+ */
 static void
-choose_by_baseline (struct model *model, uint32_t daemon,
+choose_by_baseline (struct simulation *simulation, uint32_t daemon,
                     struct rt_chain *chain)
 {
   GArray *holders = g_array_new (FALSE, FALSE, sizeof (uint32_t));
@@ -214,11 +220,13 @@
       g_array_set_size (holders, 0);
       for (uint32_t i = 0; i < ENGINES; i++)
         {
-          const struct snap_endpoint *endpoint = &model->endpoints[daemon][i];
+          const struct snap_endpoint *endpoint
+              = &simulation->endpoints[daemon][i];
           for (uint32_t j = 0; j < endpoint->range_count; j++)
             {
               if (endpoint->ranges[j].first == first
-                  && ld_standing (endpoint->load, model->now_us) == LD_OPEN)
+                  && ld_standing (endpoint->load, simulation->now_us)
+                         == LD_OPEN)
                 {
                   end = endpoint->ranges[j].end;
                   g_array_append_val (holders, i);
@@ -229,7 +237,7 @@
         {
           break;
         }
-      uint32_t chosen = choose_holder (model, daemon, holders);
+      uint32_t chosen = choose_holder (simulation, daemon, holders);
       chain->stages[chain->length++]
           = (struct rt_stage){ .endpoint = chosen, first, end };
       first = end;
@@ -238,172 +246,180 @@
 }
 
 static void
-send_step (struct model *model, uint32_t index)
+send_step (struct simulation *simulation, uint32_t index)
 {
-  struct stream *stream = &model->streams[index];
+  struct stream *stream = &simulation->streams[index];
   uint32_t engine = stream->chain.stages[stream->stage].endpoint;
   const struct snap_endpoint *endpoint
-      = &model->endpoints[stream->daemon][engine];
+      = &simulation->endpoints[stream->daemon][engine];
   int64_t link_us = endpoint->link_delay_us
                     + (int64_t)(8192 * (double)CLK_S_US
                                 / (double)endpoint->link_bytes_per_s);
-  stream->sent_us = model->now_us;
+  stream->sent_us = simulation->now_us;
   ld_step_sent (endpoint->load);
-  schedule (model, model->now_us + link_us, EVENT_STEP, index);
+  schedule (simulation, simulation->now_us + link_us, EVENT_STEP, index);
 }
 
 static void
-start_stream (struct model *model, uint32_t index)
+start_stream (struct simulation *simulation, uint32_t index)
 {
-  struct stream *stream = &model->streams[index];
+  struct stream *stream = &simulation->streams[index];
   struct rt_query query = {
     .positions = 1,
-    .seed
-    = ((uint64_t)g_rand_int (model->rand) << 32) | g_rand_int (model->rand),
-    .now_us = model->now_us,
+    .seed = ((uint64_t)g_rand_int (simulation->rand) << 32)
+            | g_rand_int (simulation->rand),
+    .now_us = simulation->now_us,
   };
-  if (model->policy == POLICY_OURS)
+  if (simulation->policy == POLICY_ROUTER)
     {
-      (void)rt_choose_chain (&model->snaps[stream->daemon], &query,
+      (void)rt_choose_chain (&simulation->snaps[stream->daemon], &query,
                              &stream->chain);
     }
   else
     {
-      choose_by_baseline (model, stream->daemon, &stream->chain);
+      choose_by_baseline (simulation, stream->daemon, &stream->chain);
     }
   for (uint32_t i = 0; i < stream->chain.length; i++)
     {
       uint32_t engine = stream->chain.stages[i].endpoint;
-      ld_stream_added (&model->loads[stream->daemon][engine]);
+      ld_stream_added (&simulation->loads[stream->daemon][engine]);
     }
   stream->stage = 0;
-  send_step (model, index);
+  send_step (simulation, index);
 }
 
 static void
-leave_chain (struct model *model, struct stream *stream)
+release_chain (struct simulation *simulation, struct stream *stream)
 {
   for (uint32_t i = 0; i < stream->chain.length; i++)
     {
       uint32_t engine = stream->chain.stages[i].endpoint;
-      ld_stream_removed (&model->loads[stream->daemon][engine]);
+      ld_stream_removed (&simulation->loads[stream->daemon][engine]);
     }
 }
 
-/* Starts the next batch of an idle engine.  */
+/* Starts the next batch of the idle engine INDEX, if steps wait there.  */
 static void
-run_batch (struct model *model, uint32_t index)
+run_batch (struct simulation *simulation, uint32_t index)
 {
-  struct engine *engine = &model->engines[index];
+  struct engine *engine = &simulation->engines[index];
   double layers = 0.0;
-  while (engine->waiting.length > 0 && engine->batch.length < BATCH)
+  while (engine->waiting.length > 0 && engine->batch.length < BATCH_MAX)
     {
-      gpointer job = g_queue_pop_head (&engine->waiting);
-      const struct stream *stream = &model->streams[GPOINTER_TO_UINT (job)];
+      gpointer stream_index = g_queue_pop_head (&engine->waiting);
+      const struct stream *stream
+          = &simulation->streams[GPOINTER_TO_UINT (stream_index)];
       const struct rt_stage *stage = &stream->chain.stages[stream->stage];
       layers += stage->end - stage->first;
-      g_queue_push_tail (&engine->batch, job);
+      g_queue_push_tail (&engine->batch, stream_index);
     }
   if (engine->batch.length > 0)
     {
-      int64_t took_us = (int64_t)(layers * CLK_S_US / engine->rate);
-      schedule (model, model->now_us + took_us, EVENT_BATCH_DONE, index);
+      int64_t elapsed_us = (int64_t)(layers * CLK_S_US / engine->rate);
+      schedule (simulation, simulation->now_us + elapsed_us, EVENT_BATCH_DONE,
+                index);
     }
 }
 
 static void
-finish_batch (struct model *model, uint32_t index)
+finish_batch (struct simulation *simulation, uint32_t index)
 {
-  struct engine *engine = &model->engines[index];
+  struct engine *engine = &simulation->engines[index];
   while (engine->batch.length > 0)
     {
-      uint32_t job = GPOINTER_TO_UINT (g_queue_pop_head (&engine->batch));
-      uint32_t daemon = model->streams[job].daemon;
-      schedule (model,
-                model->now_us + model->endpoints[daemon][index].link_delay_us,
-                EVENT_ANSWER, job);
+      uint32_t stream_index
+          = GPOINTER_TO_UINT (g_queue_pop_head (&engine->batch));
+      uint32_t daemon = simulation->streams[stream_index].daemon;
+      schedule (simulation,
+                simulation->now_us
+                    + simulation->endpoints[daemon][index].link_delay_us,
+                EVENT_ANSWER, stream_index);
     }
-  run_batch (model, index);
+  run_batch (simulation, index);
 }
 
-/* A stream whose step took longer than the timeout moves to another chain.  */
+/* Receives the answer to a step of the stream INDEX.  A stream whose step took
+   longer than the timeout moves to another chain.  */
 static void
-take_answer (struct model *model, uint32_t index)
+receive_answer (struct simulation *simulation, uint32_t index)
 {
-  struct stream *stream = &model->streams[index];
+  struct stream *stream = &simulation->streams[index];
   const struct rt_stage *stage = &stream->chain.stages[stream->stage];
-  struct ld_load *load = &model->loads[stream->daemon][stage->endpoint];
-  int64_t took_us = model->now_us - stream->sent_us;
-  if (took_us > TIMEOUT_US)
+  struct ld_load *load = &simulation->loads[stream->daemon][stage->endpoint];
+  int64_t elapsed_us = simulation->now_us - stream->sent_us;
+  if (elapsed_us > TIMEOUT_US)
     {
-      ld_step_failed (load, model->now_us);
-      leave_chain (model, stream);
-      start_stream (model, index);
+      ld_step_failed (load, simulation->now_us);
+      release_chain (simulation, stream);
+      start_stream (simulation, index);
       return;
     }
-  ld_step_done (load, took_us, model->now_us);
+  ld_step_done (load, elapsed_us, simulation->now_us);
   stream->stage++;
   if (stream->stage < stream->chain.length)
     {
-      send_step (model, index);
+      send_step (simulation, index);
       return;
     }
-  if (model->now_us > WARM_UP_US)
+  if (simulation->now_us > WARM_UP_US)
     {
-      int64_t between_us = model->now_us - stream->token_at_us;
-      model->tokens++;
-      g_array_append_val (model->between, between_us);
+      int64_t gap_us = simulation->now_us - stream->last_token_us;
+      simulation->tokens++;
+      g_array_append_val (simulation->token_gaps_us, gap_us);
     }
-  stream->token_at_us = model->now_us;
+  stream->last_token_us = simulation->now_us;
   stream->stage = 0;
   if (--stream->tokens_left > 0)
     {
-      send_step (model, index);
+      send_step (simulation, index);
       return;
     }
-  leave_chain (model, stream);
+  release_chain (simulation, stream);
   stream->tokens_left
-      = (uint32_t)g_rand_int_range (model->rand, 1, 2 * STREAM_TOKENS);
-  start_stream (model, index);
+      = (uint32_t)g_rand_int_range (simulation->rand, 1, 2 * STREAM_TOKENS);
+  start_stream (simulation, index);
 }
 
 static void
-take_reports (struct model *model)
+deliver_reports (struct simulation *simulation)
 {
   for (uint32_t i = 0; i < DAEMONS; i++)
     {
       for (uint32_t j = 0; j < ENGINES; j++)
         {
-          ld_report (
-              &model->loads[i][j], (int32_t)model->engines[j].batch.length,
-              (int32_t)model->engines[j].waiting.length, false, model->now_us);
+          ld_report (&simulation->loads[i][j],
+                     (int32_t)simulation->engines[j].batch.length,
+                     (int32_t)simulation->engines[j].waiting.length, false,
+                     simulation->now_us);
         }
     }
-  schedule (model, model->now_us + REPORT_INTERVAL_US, EVENT_REPORT, 0);
+  schedule (simulation, simulation->now_us + REPORT_INTERVAL_US, EVENT_REPORT,
+            0);
 }
 
 static void
-set_up (struct model *model, const struct pl_placement *placement)
+create_snapshots (struct simulation *simulation,
+                  const struct pl_placement *placement)
 {
   for (uint32_t i = 0; i < DAEMONS; i++)
     {
       for (uint32_t j = 0; j < ENGINES; j++)
         {
-          struct snap_endpoint *endpoint = &model->endpoints[i][j];
+          struct snap_endpoint *endpoint = &simulation->endpoints[i][j];
           *endpoint = (struct snap_endpoint){
             .host = j,
             .takes_work = true,
             .range_count = placement->hosts[j].range_count,
-            .load = &model->loads[i][j],
+            .load = &simulation->loads[i][j],
           };
           memcpy (endpoint->ranges, placement->hosts[j].ranges,
                   sizeof endpoint->ranges);
           set_link (endpoint, i % DATA_CENTRES,
-                    model->config->hosts[j].data_centre);
+                    simulation->config->hosts[j].data_centre);
         }
-      model->snaps[i] = (struct snap){
-        .config = model->config,
-        .endpoints = model->endpoints[i],
+      simulation->snaps[i] = (struct snap){
+        .config = simulation->config,
+        .endpoints = simulation->endpoints[i],
         .endpoint_count = ENGINES,
         .daemons = DAEMONS,
       };
@@ -418,80 +434,82 @@
   return a < b ? -1 : a > b;
 }
 
-/* Runs one policy; returns tokens a second and sets P95_US.  */
+/* Simulates POLICY with STREAMS open streams, and with a slow engine 0 if
+   SLOW. Returns the tokens a second after the warm-up and sets P95_US to the
+   95th percentile of the time between two tokens.  */
 static double
 run_policy (enum policy policy, struct cfg_config *config,
             const struct pl_placement *placement, double streams, bool slow,
             uint32_t seed, double *p95_us)
 {
-  struct model *model = g_new0 (struct model, 1);
-  model->policy = policy;
-  model->config = config;
-  model->rand = g_rand_new_with_seed (seed);
-  model->events = g_tree_new_full (compare_events, NULL, g_free, NULL);
-  model->between = g_array_new (FALSE, FALSE, sizeof (int64_t));
-  model->stream_count = (uint32_t)streams;
-  model->streams = g_new0 (struct stream, model->stream_count);
-  set_up (model, placement);
+  struct simulation *simulation = g_new0 (struct simulation, 1);
+  simulation->policy = policy;
+  simulation->config = config;
+  simulation->rand = g_rand_new_with_seed (seed);
+  simulation->events = g_tree_new_full (compare_events, NULL, g_free, NULL);
+  simulation->token_gaps_us = g_array_new (FALSE, FALSE, sizeof (int64_t));
+  simulation->stream_count = (uint32_t)streams;
+  simulation->streams = g_new0 (struct stream, simulation->stream_count);
+  create_snapshots (simulation, placement);
   for (uint32_t i = 0; i < ENGINES; i++)
     {
-      model->engines[i].rate = config->hosts[i].layer_tokens_per_s;
+      simulation->engines[i].rate = config->hosts[i].layer_tokens_per_s;
     }
-  model->engines[0].rate /= slow ? SLOW_FACTOR : 1;
-  take_reports (model);
-  for (uint32_t i = 0; i < model->stream_count; i++)
+  simulation->engines[0].rate /= slow ? SLOW_FACTOR : 1;
+  deliver_reports (simulation);
+  for (uint32_t i = 0; i < simulation->stream_count; i++)
     {
-      model->streams[i].daemon = i % DAEMONS;
-      model->streams[i].tokens_left
-          = (uint32_t)g_rand_int_range (model->rand, 1, 2 * STREAM_TOKENS);
-      start_stream (model, i);
+      simulation->streams[i].daemon = i % DAEMONS;
+      simulation->streams[i].tokens_left = (uint32_t)g_rand_int_range (
+          simulation->rand, 1, 2 * STREAM_TOKENS);
+      start_stream (simulation, i);
     }
-  while (model->now_us < END_US)
+  while (simulation->now_us < END_US)
     {
-      GTreeNode *node = g_tree_node_first (model->events);
+      GTreeNode *node = g_tree_node_first (simulation->events);
       struct event event = *(struct event *)g_tree_node_key (node);
-      g_tree_remove (model->events, g_tree_node_key (node));
-      model->now_us = event.at_us;
+      g_tree_remove (simulation->events, g_tree_node_key (node));
+      simulation->now_us = event.at_us;
       switch (event.kind)
         {
         case EVENT_STEP:
           {
-            const struct stream *stream = &model->streams[event.index];
+            const struct stream *stream = &simulation->streams[event.index];
             uint32_t engine = stream->chain.stages[stream->stage].endpoint;
-            g_queue_push_tail (&model->engines[engine].waiting,
+            g_queue_push_tail (&simulation->engines[engine].waiting,
                                GUINT_TO_POINTER (event.index));
-            if (model->engines[engine].batch.length == 0)
+            if (simulation->engines[engine].batch.length == 0)
               {
-                run_batch (model, engine);
+                run_batch (simulation, engine);
               }
             break;
           }
         case EVENT_BATCH_DONE:
-          finish_batch (model, event.index);
+          finish_batch (simulation, event.index);
           break;
         case EVENT_ANSWER:
-          take_answer (model, event.index);
+          receive_answer (simulation, event.index);
           break;
         case EVENT_REPORT:
-          take_reports (model);
+          deliver_reports (simulation);
           break;
         }
     }
-  g_array_sort (model->between, compare_times);
-  guint rank = model->between->len * 95 / 100;
-  *p95_us = (double)g_array_index (model->between, int64_t, rank);
+  g_array_sort (simulation->token_gaps_us, compare_times);
+  guint rank = simulation->token_gaps_us->len * 95 / 100;
+  *p95_us = (double)g_array_index (simulation->token_gaps_us, int64_t, rank);
   double rate
-      = (double)model->tokens * CLK_S_US / (double)(END_US - WARM_UP_US);
+      = (double)simulation->tokens * CLK_S_US / (double)(END_US - WARM_UP_US);
   for (uint32_t i = 0; i < ENGINES; i++)
     {
-      g_queue_clear (&model->engines[i].waiting);
-      g_queue_clear (&model->engines[i].batch);
+      g_queue_clear (&simulation->engines[i].waiting);
+      g_queue_clear (&simulation->engines[i].batch);
     }
-  g_tree_destroy (model->events);
-  g_array_free (model->between, TRUE);
-  g_rand_free (model->rand);
-  g_free (model->streams);
-  g_free (model);
+  g_tree_destroy (simulation->events);
+  g_array_free (simulation->token_gaps_us, TRUE);
+  g_rand_free (simulation->rand);
+  g_free (simulation->streams);
+  g_free (simulation);
   return rate;
 }
 
@@ -516,10 +534,11 @@
           values[SEEDS - 1], unit);
 }
 
-/* Compares all policies with as many streams as Little's law gives for PART of
-   the bound and 39 ms between tokens.  */
+/* Compares all policies at LOAD_SHARE of the placement's bound.  The number of
+   streams follows from Little's law with 39 ms between two tokens.  */
 static void
-compare_policies (const char *load, double part, bool slow, uint32_t seed)
+compare_policies (const char *load, double load_share, bool slow,
+                  uint32_t seed)
 {
   double shares[POLICY_COUNT][SEEDS];
   double p95s[POLICY_COUNT][SEEDS];
@@ -530,7 +549,7 @@
       struct pl_placement *placement = pl_plan (config, NULL, NULL);
       struct pl_bound bound;
       pl_find_bound (config, NULL, placement, &bound);
-      double streams = bound.tokens_per_s * 0.039 * part;
+      double streams = bound.tokens_per_s * 0.039 * load_share;
       for (int policy = 0; policy < POLICY_COUNT; policy++)
         {
           double p95_us;
@@ -545,11 +564,12 @@
     }
   for (int policy = 0; policy < POLICY_COUNT; policy++)
     {
-      bool ours = policy == POLICY_OURS;
+      bool is_router = policy == POLICY_ROUTER;
       print_values (load, policy_names[policy], "bound_share", shares[policy],
-                    "1", ours && part > 1.0 ? ">=0.92" : "-");
+                    "1", is_router && load_share > 1.0 ? ">=0.92" : "-");
       print_values (load, policy_names[policy], "between_tokens_p95",
-                    p95s[policy], "ms", ours && part < 1.0 ? "<=39" : "-");
+                    p95s[policy], "ms",
+                    is_router && load_share < 1.0 ? "<=39" : "-");
     }
 }
 
--- a/bench/routing_time.c
+++ b/bench/routing_time.c
@@ -1,4 +1,5 @@
-/* Time to choose a chain at the largest size: 720 engines and 7 models.
+/* Measures the time to choose a chain at the largest size: 720 engines, 7
+   models and 8 stages.  Prints lines `name value unit target'.
 
      build/release/bench/routing_time  */
 
@@ -11,7 +12,7 @@
 #define ENGINES 720
 #define MODELS 7
 #define LAYERS 80
-#define SEGMENTS 8
+#define STAGES 8
 #define CHOICES 20000
 
 int
@@ -31,14 +32,14 @@
   struct ld_load *loads = g_new0 (struct ld_load, ENGINES);
   for (uint32_t i = 0; i < ENGINES; i++)
     {
-      uint32_t segment = i / MODELS % SEGMENTS;
+      uint32_t stage = i / MODELS % STAGES;
       config->hosts[i].layer_tokens_per_s = 10000 + i % 4 * 5000;
       endpoints[i] = (struct snap_endpoint){
         .host = i,
         .takes_work = true,
         .ranges = { { .model = i % MODELS,
-                      .first = segment * LAYERS / SEGMENTS,
-                      .end = (segment + 1) * LAYERS / SEGMENTS } },
+                      .first = stage * LAYERS / STAGES,
+                      .end = (stage + 1) * LAYERS / STAGES } },
         .range_count = 1,
         .link_delay_us = 500,
         .link_bytes_per_s = 1000000000,
@@ -64,8 +65,8 @@
       struct rt_chain chain;
       found += rt_choose_chain (&snap, &query, &chain) == ERR_NONE;
     }
-  double took_us = (double)(clk_monotonic_us () - start_us);
-  printf ("routing.large.time_per_choice %.2f us -\n", took_us / CHOICES);
+  double elapsed_us = (double)(clk_monotonic_us () - start_us);
+  printf ("routing.large.time_per_choice %.2f us -\n", elapsed_us / CHOICES);
   printf ("routing.large.found %u chains >=%d\n", found, CHOICES);
   printf ("routing.large.load_state %zu B -\n", sizeof (struct ld_load));
   printf ("routing.large.snapshot %zu KiB -\n",
