--- a/test/fuzz/burn_fuzz.c
+++ b/test/fuzz/burn_fuzz.c
@@ -1,18 +1,19 @@
-/* Feeds bytes to the unpacker of burn records.  What is accepted is merged,
-   reported, packed and read back. */
+/* Fuzzes the unpacking of burn records.  An accepted record must merge only
+   once, give a report in JSON, and read back after packing. */
 #include "fuzz.h"
 
 #include "core/burn.h"
 
 #include <stdint.h>
 
+/* Time of the report on a record without a bucket. */
 #define NOW_US INT64_C (1700000000000000)
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t bytes);
 
-/* Reports on the first account of RECORD after merging it.  */
+/* Merges RECORD twice and reports on the account of its first entry.  */
 static void
-merge (const struct brn_record *record)
+check_merge_and_report (const struct brn_record *record)
 {
   struct cfg_account account = { .objective = { .availability = 0.999 } };
   const struct brn_entry *entry = g_ptr_array_index (record->entries, 0);
@@ -24,7 +25,7 @@
   brn_merge (state, record);
   if (brn_merge (state, record) == BRN_MERGED)
     {
-      fz_fail ("a record that merges twice");
+      fz_fail ("the same record merged twice");
     }
   int64_t now_us = NOW_US;
   if (record->bucket > 0)
@@ -35,7 +36,7 @@
   json_t *json = brn_report_to_json (report);
   if (json == NULL)
     {
-      fz_fail ("a report that is no JSON");
+      fz_fail ("the report could not be converted to JSON");
     }
   json_decref (json);
   brn_report_destroy (report);
@@ -54,16 +55,16 @@
     }
   if (record->entries->len > 0)
     {
-      merge (record);
+      check_merge_and_report (record);
     }
-  GBytes *again = brn_pack (record);
-  struct brn_record *read = brn_unpack (again);
-  if (read == NULL || read->entries->len != record->entries->len)
+  GBytes *repacked = brn_pack (record);
+  struct brn_record *reread = brn_unpack (repacked);
+  if (reread == NULL || reread->entries->len != record->entries->len)
     {
-      fz_fail ("a record that does not read back");
+      fz_fail ("the packed record does not read back");
     }
-  g_bytes_unref (again);
-  brn_record_destroy (read);
+  g_bytes_unref (repacked);
+  brn_record_destroy (reread);
   brn_record_destroy (record);
   return 0;
 }
--- a/test/fuzz/csv_fuzz.c
+++ b/test/fuzz/csv_fuzz.c
@@ -1,5 +1,5 @@
-/* Feeds bytes to the import of the asset register.  What it accepts is written
-   as a configuration and must be a valid one. */
+/* Fuzzes the import of the asset register, a CSV file.  The configuration made
+   from an accepted register must be valid when it is written and parsed. */
 #include "fuzz.h"
 
 #include "config/inventory.h"
@@ -20,13 +20,13 @@
   if (config != NULL)
     {
       char *yaml = cfg_emit (config);
-      struct cfg_config *again
+      struct cfg_config *reparsed
           = cfg_parse ("again", yaml, strlen (yaml), complaints, NULL);
-      if (again == NULL)
+      if (reparsed == NULL)
         {
           fz_fail (complaints->str);
         }
-      cfg_config_destroy (again);
+      cfg_config_destroy (reparsed);
       g_free (yaml);
     }
   cfg_config_destroy (config);
--- a/test/fuzz/frame_fuzz.c
+++ b/test/fuzz/frame_fuzz.c
@@ -1,5 +1,5 @@
-/* Feeds bytes to the reader of peer frames; what it accepts must pack again,
-   and goes to the membership machine.  */
+/* Fuzzes the reader of peer frames.  An accepted envelope is packed again, and
+   a membership message is also passed to the membership state machine.  */
 #include "core/membership.h"
 #include "peer/frame.h"
 
@@ -8,8 +8,9 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
+/* Passes MESSAGE to a daemon's membership repeatedly over five periods.  */
 static void
-feed_membership (const Peer__Membership *message)
+check_membership (const Peer__Membership *message)
 {
   const struct mem_settings settings = { .name = "entry-a",
                                          .address = "10.0.0.1:7000",
@@ -32,14 +33,14 @@
 }
 
 static void
-try_envelope (const Peer__Envelope *envelope)
+check_envelope (const Peer__Envelope *envelope)
 {
   GByteArray *out = g_byte_array_new ();
   frm_append (out, envelope);
   g_byte_array_free (out, TRUE);
   if (envelope->body_case == PEER__ENVELOPE__BODY_MEMBERSHIP)
     {
-      feed_membership (envelope->membership);
+      check_membership (envelope->membership);
     }
 }
 
@@ -51,7 +52,7 @@
   frm_push (reader, data, size);
   while (frm_next (reader, &envelope) == FRM_COMPLETE)
     {
-      try_envelope (envelope);
+      check_envelope (envelope);
       peer__envelope__free_unpacked (envelope, NULL);
     }
   frm_reader_destroy (reader);
--- a/test/fuzz/fuzz.h
+++ b/test/fuzz/fuzz.h
@@ -1,12 +1,12 @@
-/* What the fuzzers share. */
+/* Helpers shared by the fuzz targets. */
 #ifndef FUZZ_FUZZ_H
 #define FUZZ_FUZZ_H
 
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Stops with MESSAGE, by SIGABRT: the fuzzer then keeps the input, which it
-   does not do for the trap of g_error.  */
+/* Prints MESSAGE and aborts.  Unlike the trap of g_error, SIGABRT makes the
+   fuzzer save the input.  */
 static inline void
 fz_fail (const char *message)
 {
--- a/test/fuzz/json_fuzz.c
+++ b/test/fuzz/json_fuzz.c
@@ -1,5 +1,6 @@
-/* Feeds bytes to the parser of completion requests.  The first byte chooses
-   between chat and plain completion. */
+/* Fuzzes the parser of completion requests.  The first byte selects a chat or
+   a plain completion.  The parser must return either a request or a failure,
+   and an accepted request must have a prompt and a model. */
 #include "fuzz.h"
 
 #include "caller/caller.h"
@@ -23,11 +24,11 @@
                                 &draft, &failure);
   if (valid == (failure.kind != ERR_NONE))
     {
-      fz_fail ("a request and a failure, or neither");
+      fz_fail ("the parser returned both a request and a failure, or neither");
     }
   if (valid && (draft.prompt == NULL || draft.model[0] == '\0'))
     {
-      fz_fail ("an accepted request without prompt or model");
+      fz_fail ("the accepted request has no prompt or no model");
     }
   cal_draft_clear (&draft);
   return 0;
--- a/test/fuzz/record_fuzz.c
+++ b/test/fuzz/record_fuzz.c
@@ -1,5 +1,6 @@
-/* Feeds bytes to the unpackers of records of the log.  The first byte chooses
-   the kind of record; what is accepted must pack again. */
+/* Fuzzes the unpacking of the log's records.  The first byte selects the kind
+   of record.  An accepted record must pack again, and a batch must read
+   back. */
 #include "fuzz.h"
 
 #include "core/record.h"
@@ -9,26 +10,26 @@
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t bytes);
 
 static void
-try_batch (GBytes *bytes)
+check_batch (GBytes *bytes)
 {
   struct rec_batch *batch = rec_unpack_batch (bytes);
   if (batch != NULL)
     {
-      GBytes *again = rec_pack_batch (batch->incarnation, batch->sequence,
-                                      batch->entries);
-      struct rec_batch *read = rec_unpack_batch (again);
-      if (read == NULL || read->entries->len != batch->entries->len)
+      GBytes *repacked = rec_pack_batch (batch->incarnation, batch->sequence,
+                                         batch->entries);
+      struct rec_batch *reread = rec_unpack_batch (repacked);
+      if (reread == NULL || reread->entries->len != batch->entries->len)
         {
-          fz_fail ("a batch that does not read back");
+          fz_fail ("the packed batch does not read back");
         }
-      rec_batch_destroy (read);
-      g_bytes_unref (again);
+      rec_batch_destroy (reread);
+      g_bytes_unref (repacked);
       rec_batch_destroy (batch);
     }
 }
 
 static void
-try_configuration (GBytes *bytes)
+check_configuration (GBytes *bytes)
 {
   struct rec_configuration *record = rec_unpack_configuration (bytes);
   if (record != NULL)
@@ -39,7 +40,7 @@
 }
 
 static void
-try_lease (GBytes *bytes)
+check_lease (GBytes *bytes)
 {
   struct rec_lease *record = rec_unpack_lease (bytes);
   if (record != NULL)
@@ -60,13 +61,13 @@
   switch (data[0] % 3)
     {
     case 0:
-      try_batch (record);
+      check_batch (record);
       break;
     case 1:
-      try_configuration (record);
+      check_configuration (record);
       break;
     default:
-      try_lease (record);
+      check_lease (record);
       break;
     }
   g_bytes_unref (record);
--- a/test/fuzz/yaml_fuzz.c
+++ b/test/fuzz/yaml_fuzz.c
@@ -1,5 +1,6 @@
-/* Feeds bytes to the parser of configurations.  What it accepts is written and
-   read back, and must come back the same. */
+/* Fuzzes the parser of configurations.  An accepted configuration must be the
+   same after it is written and parsed again; a rejected one must give an error
+   and complaints. */
 #include "fuzz.h"
 
 #include "config/parse.h"
@@ -9,19 +10,19 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t bytes);
 
-/* Reads back CONFIG as text.  */
+/* Writes CONFIG, parses the text and compares the two configurations.  */
 static void
-read_back (const struct cfg_config *config)
+check_round_trip (const struct cfg_config *config)
 {
   char *text = cfg_emit (config);
   GString *complaints = g_string_new (NULL);
-  struct cfg_config *again
+  struct cfg_config *reparsed
       = cfg_parse ("again", text, strlen (text), complaints, NULL);
-  if (again == NULL)
+  if (reparsed == NULL)
     {
       fz_fail (complaints->str);
     }
-  char *changes = cfg_diff (config, again);
+  char *changes = cfg_diff (config, reparsed);
   if (changes[0] != '\0')
     {
       fz_fail (changes);
@@ -29,7 +30,7 @@
   g_free (changes);
   g_free (text);
   g_string_free (complaints, TRUE);
-  cfg_config_destroy (again);
+  cfg_config_destroy (reparsed);
 }
 
 int
@@ -42,11 +43,12 @@
   if ((config == NULL) != (error != NULL)
       || (config == NULL) != (complaints->len > 0))
     {
-      fz_fail ("a configuration and an error, or neither");
+      fz_fail (
+          "the parser returned both a configuration and an error, or neither");
     }
   if (config != NULL)
     {
-      read_back (config);
+      check_round_trip (config);
       cfg_config_destroy (config);
     }
   g_clear_error (&error);
