--- a/tools/bench_fleet.sh
+++ b/tools/bench_fleet.sh
@@ -1,6 +1,7 @@
-# The fleet of the benchmarks: today's size, in real processes on loopback.
-# 6 daemons, 40 drafting runners of 4 kinds in three data centres, 3 booking
-# runners, 10 accounts.  Needs fleet_lib.sh.
+# The fleet of the benchmarks, in real processes on loopback: 6 daemons, 40
+# engines of 4 kinds in three data centres, 3 booking services and 10 accounts,
+# which is the size of the users' present fleet.  Needs fleet_lib.sh, FLEET, BIN
+# and BENCH_SEED.
 
 BENCH_MODEL=draft
 BENCH_LAYERS=8
@@ -8,7 +9,7 @@
 BENCH_ENGINES=40
 BENCH_SERVICES=3
 BENCH_ACCOUNTS=10
-# Kind, layer tokens a second, memory in MiB (512 for a layer).
+# Kind, layer tokens a second, memory in MiB (a layer takes 512).
 BENCH_KINDS=('h100 2000 3072' 'a100 1300 2048' 'l40 800 1536' 'l4 400 1024')
 
 bench_engine ()
@@ -16,7 +17,7 @@
   printf 'runner-%02d' "$1"
 }
 
-# bench_kind INDEX: kind, rate and memory of an engine.
+# bench_kind INDEX: prints the kind, rate and memory of an engine.
 bench_kind ()
 {
   echo "${BENCH_KINDS[$(($1 % 4))]}"
@@ -67,8 +68,8 @@
   done
 }
 
-# bench_configuration VERSION: the configuration, with the addresses of what
-# runs already.
+# bench_configuration VERSION: prints the configuration, with the addresses of
+# the endpoints that run already and placeholder ports for the others.
 bench_configuration ()
 {
   cat <<END
@@ -93,7 +94,7 @@
 END
 }
 
-# bench_ranges NAME: the planned ranges of an engine, one a line.
+# bench_ranges NAME: prints the planned ranges of an engine, one on each line.
 bench_ranges ()
 {
   awk -v name="$1" '$1 == "host" && $2 == name {
@@ -101,8 +102,9 @@
     "$FLEET/plan.txt"
 }
 
-# bench_load_further NAME: loads the ranges after the first one.
-bench_load_further ()
+# load_remaining_ranges NAME: orders an engine to load its planned ranges after
+# the first, which it loads at its start.
+load_remaining_ranges ()
 {
   local range
   bench_ranges "$1" | tail -n +2 | while read -r range; do
@@ -112,7 +114,8 @@
   done
 }
 
-# bench_start_endpoints: engines with the ranges of the planned placement.
+# bench_start_endpoints: starts the engines with the ranges of the planned
+# placement, and the services.
 bench_start_endpoints ()
 {
   local index name kind rate memory range
@@ -130,7 +133,7 @@
   done
   for index in $(seq 0 $((BENCH_ENGINES - 1))); do
     wait_for 10 has_port "$(bench_engine "$index")"
-    bench_load_further "$(bench_engine "$index")"
+    load_remaining_ranges "$(bench_engine "$index")"
   done
   for index in $(seq 1 $BENCH_SERVICES); do
     wait_for 10 has_port "booking-$index"
@@ -155,7 +158,8 @@
     -d "{\"model\": \"$BENCH_MODEL\", \"prompt\": \"hello\", \"max_tokens\": 1}"
 }
 
-# bench_start: the whole fleet, ready for load.
+# bench_start: starts the whole fleet and waits until every daemon answers a
+# draft.
 bench_start ()
 {
   local name
@@ -172,12 +176,13 @@
   done
 }
 
-# bench_bound: tokens a second that the placement allows.
+# bench_bound: prints the tokens a second that the placement allows.
 bench_bound ()
 {
   awk '$1 == "bound" { print $2 }' "$FLEET/plan.txt"
 }
 
+# bench_callers: prints the daemons' addresses as options of the load tool.
 bench_callers ()
 {
   local name
--- a/tools/bench_lib.sh
+++ b/tools/bench_lib.sh
@@ -1,14 +1,17 @@
-# What the benchmarks of the whole fleet share.  Needs bench_fleet.sh.
+# Functions shared by the benchmarks of a whole fleet: load, statistics and
+# output.  Needs bench_fleet.sh, RESULTS (a folder for values) and BENCH_SEED.
 
 BENCH_TOKENS_LOW=60
 BENCH_TOKENS_HIGH=120
 BENCH_PROMPT=4-8
-# The prompts are of 4 positions at most; the stand-ins run 16 positions of a
-# prefill at the cost of one later step.
+# Positions of a prompt as counted against the bound, in units of one decode
+# step: the prompts have at most 4 positions, and the stand-ins run 16 positions
+# of a prefill at the cost of one later step.
 BENCH_PROMPT_POSITIONS=1
 
-# seeds_of DEFAULT ARGUMENTS...: the seeds given by --seed, else DEFAULT.
-seeds_of ()
+# parse_seeds DEFAULT ARGUMENTS...: prints the seeds given by --seed, or
+# DEFAULT.
+parse_seeds ()
 {
   local default=$1 seeds=()
   shift
@@ -21,8 +24,9 @@
   [ ${#seeds[@]} -gt 0 ] && echo "${seeds[*]}" || echo "$default"
 }
 
-# bench_load SUMMARY OPTIONS...: runs the load tool.
-bench_load ()
+# run_load SUMMARY OPTIONS...: runs the load tool, which writes the file
+# SUMMARY.
+run_load ()
 {
   local summary=$1
   shift
@@ -33,8 +37,9 @@
     --threads 2 --drain-s 20 --summary "$summary" "$@"
 }
 
-# accounts_closed STREAMS: every account keeps STREAMS drafts open.
-accounts_closed ()
+# closed_loop_accounts STREAMS: prints load options by which every account keeps
+# STREAMS drafts open.
+closed_loop_accounts ()
 {
   local index
   for index in $(seq 1 $BENCH_ACCOUNTS); do
@@ -43,9 +48,9 @@
   done
 }
 
-# accounts_open RATE: drafts a second of all accounts together; the first two
-# ask for four shares each.
-accounts_open ()
+# open_loop_accounts RATE: prints load options by which all accounts together
+# send RATE drafts a second; the first two send four shares each.
+open_loop_accounts ()
 {
   local index share
   for index in $(seq 1 $BENCH_ACCOUNTS); do
@@ -56,13 +61,15 @@
   done
 }
 
+# calculate EXPRESSION: prints the value of an awk expression.
 calculate ()
 {
   awk "BEGIN { printf \"%.4f\", $1 }"
 }
 
-# number FILE PATH: a number of a summary; PATH like first_token_ms.p95.
-number ()
+# summary_value FILE PATH: prints a number of a load summary; PATH is like
+# first_token_ms.p95.
+summary_value ()
 {
   local object=${2%%.*} member=${2#*.}
   if [ "$object" = "$member" ]; then
@@ -73,18 +80,19 @@
   fi
 }
 
-# bad_drafts FILE: drafts that were not answered whole.
-bad_drafts ()
+# incomplete_drafts FILE: prints how many drafts weren't answered completely and
+# correctly.
+incomplete_drafts ()
 {
   local member sum=0
   for member in wrong cut failed unconnected unfinished; do
-    sum=$((sum + $(number "$1" "drafts.$member")))
+    sum=$((sum + $(summary_value "$1" "drafts.$member")))
   done
   echo $sum
 }
 
-# workload_bound BOUND: tokens a second of this workload when every position,
-# those of the prompts too, runs at the placement's bound.
+# workload_bound BOUND: prints the tokens a second of this workload when all
+# positions, including those of the prompts, run at the placement's bound.
 workload_bound ()
 {
   local tokens
@@ -92,9 +100,9 @@
   calculate "$1 * $tokens / ($tokens + $BENCH_PROMPT_POSITIONS - 1)"
 }
 
-# measured NAME UNIT TARGET VALUES...: one line with the median, and the range
-# when there are several values.
-measured ()
+# print_measurement NAME UNIT TARGET VALUES...: prints one line with the median,
+# and with the range if there are several values.
+print_measurement ()
 {
   local name=$1 unit=$2 target=$3 sorted
   shift 3
@@ -107,17 +115,17 @@
   printf '\n'
 }
 
-# collect NAME VALUE: keeps a value of one seed.
-collect ()
+# store_value NAME VALUE: stores the value of one seed.
+store_value ()
 {
   echo "$2" >> "$RESULTS/$1"
   echo "seed $BENCH_SEED: $1 $2" >&2
 }
 
-# report NAME UNIT TARGET: prints what was collected.
+# report NAME UNIT TARGET: prints the measurement from the stored values.
 report ()
 {
   local values
   mapfile -t values < "$RESULTS/$1"
-  measured "$1" "$2" "$3" "${values[@]}"
+  print_measurement "$1" "$2" "$3" "${values[@]}"
 }
