--- a/tools/faults_lib.sh
+++ b/tools/faults_lib.sh
@@ -1,5 +1,5 @@
-# The fleet of the fault campaign and the faults themselves.
-# Needs: fleet_lib.sh, FLEET, BIN, PORTS, SEED.
+# The fleet of the fault tests, and the faults.  Needs fleet_lib.sh, FLEET, BIN,
+# PORTS and SEED.
 
 DAEMONS=(entry-1 entry-2 entry-3)
 ENGINES=(engine-0a engine-0b engine-0c engine-1a engine-1b engine-1c
@@ -9,17 +9,17 @@
 LAYERS=24
 RATE=20000
 LOAD_S=6
-CONNECTIONS=48 # each costs a thread of the stand-in
+CONNECTIONS=48 # the stand-in runs one thread for each
 
-# record EVENT [MEMBERS]: journals an event of the campaign.
+# record EVENT [MEMBERS]: writes an event to the journal of the fault test.
 record ()
 {
   "$BIN/standin-journal" "$FLEET/campaign.journal" "$@"
 }
 
-# launch NAME COMMAND...: as start_process, and the exit status goes to
-# NAME.status.
-launch ()
+# start_monitored NAME COMMAND...: like start_process, but also writes the exit
+# status to NAME.status when the process ends.
+start_monitored ()
 {
   local name=$1
   shift
@@ -35,7 +35,8 @@
   wait_for 5 test -e "$FLEET/$name.pid"
 }
 
-# fixed_port NAME: every process keeps its port over restarts.
+# fixed_port NAME: prints the port of a process, which stays the same over
+# restarts.
 fixed_port ()
 {
   local name index=0
@@ -50,7 +51,7 @@
 {
   local group=${1#engine-}
   group=${group%?}
-  launch "$1" "$BIN/standin-engine" --port "$(fixed_port "$1")" --name "$1" \
+  start_monitored "$1" "$BIN/standin-engine" --port "$(fixed_port "$1")" --name "$1" \
     --model $MODEL --layers $LAYERS --range $((group * 8))-$((group * 8 + 8)) \
     --layer-tokens-per-s $RATE --platform "$PLATFORM" \
     --connections $CONNECTIONS \
@@ -60,14 +61,14 @@
 
 run_service ()
 {
-  launch "$1" "$BIN/standin-service" --port "$(fixed_port "$1")" --name "$1" \
+  start_monitored "$1" "$BIN/standin-service" --port "$(fixed_port "$1")" --name "$1" \
     --journal "$FLEET/$1.journal"
   wait_for 10 has_port "$1"
 }
 
 run_daemon ()
 {
-  launch "$1" "$BIN/kumquatthread" serve "$FLEET/$1.yaml"
+  start_monitored "$1" "$BIN/kumquatthread" serve "$FLEET/$1.yaml"
   wait_for 10 daemon_printed "$1"
 }
 
@@ -81,7 +82,7 @@
   echo "http://127.0.0.1:$(($(fixed_port "$1") + 10))"
 }
 
-settings_of ()
+write_daemon_settings ()
 {
   write_settings "$1" kingston-1 $(($(fixed_port "$1") + 5)) \
     "127.0.0.1:$(($(fixed_port entry-1) + 5)), 127.0.0.1:$(($(fixed_port entry-2) + 5))"
@@ -104,7 +105,8 @@
   done
 }
 
-# write_configuration VERSION FILE
+# write_configuration VERSION FILE: writes the configuration; the queue length
+# depends on VERSION, so that versions differ.
 write_configuration ()
 {
   cat > "$2" <<END
@@ -124,7 +126,8 @@
 END
 }
 
-# config_version DAEMON: what it says is in force; nothing when it is silent.
+# config_version DAEMON: prints the version that the daemon reports as in force;
+# nothing if the daemon doesn't answer.
 config_version ()
 {
   curl -s --max-time 1 -H "Authorization: Bearer $(cat "$FLEET/operator.token")" \
@@ -132,7 +135,8 @@
     | sed -n 's/.*"config_version":\([0-9]*\).*/\1/p'
 }
 
-# publish_as PUBLISHER DAEMON VERSION: fails when it was not accepted.
+# publish_as PUBLISHER DAEMON VERSION: publishes VERSION at DAEMON and journals
+# the publication; fails if DAEMON rejects it.
 publish_as ()
 {
   local file=$FLEET/configuration-$1.yaml
@@ -147,14 +151,14 @@
 {
   local name
   write_secrets
-  launch platform "$BIN/standin-platform" --port $((PORTS + 39)) \
+  start_monitored platform "$BIN/standin-platform" --port $((PORTS + 39)) \
     --journal "$FLEET/platform.journal" --list-lag-ms 1000
   wait_for 10 has_port platform
   PLATFORM=http://127.0.0.1:$((PORTS + 39))
   for name in "${ENGINES[@]}"; do run_engine "$name"; done
   for name in "${SERVICES[@]}"; do run_service "$name"; done
   for name in "${DAEMONS[@]}"; do
-    settings_of "$name"
+    write_daemon_settings "$name"
     run_daemon "$name"
   done
   wait_for 20 publish_as first entry-1 1
@@ -175,7 +179,8 @@
   cat "$FLEET/load.summary" >> "$FLEET/load.summaries"
 }
 
-# poll_versions: journals what each daemon says is in force.
+# poll_versions: journals the version that each daemon reports as in force,
+# twice a second, without end.
 poll_versions ()
 {
   local name version
@@ -190,8 +195,8 @@
   done
 }
 
-# total NAME EVENT OUTCOME: prints how many answers ended so.
-total ()
+# print_total NAME EVENT OUTCOME: prints how many answers ended with OUTCOME.
+print_total ()
 {
   local count
   count=$(grep "\"event\":\"$2\"" "$FLEET/load.journal" \
@@ -203,13 +208,15 @@
 {
   local outcome
   for outcome in whole refused failed cut unconnected; do
-    total drafts draft "$outcome"
-    total booking_calls call "$outcome"
+    print_total drafts draft "$outcome"
+    print_total booking_calls call "$outcome"
   done
 }
 
-# The faults: each takes a target and a length in seconds, and ends healed.
+# The faults: each takes a target and a length in seconds, and undoes its effect
+# at the end.  Some ignore the target, or use the length as a number of answers.
 
+# fault PORT BODY: sends an order to inject a fault to a stand-in.
 fault ()
 {
   curl -s --max-time 5 -d "$2" "http://127.0.0.1:$1/fault" > /dev/null || true
@@ -230,8 +237,9 @@
   kill -CONT "$pid" 2> /dev/null || true
 }
 
-# once NAME COMMAND...: runs COMMAND unless another fault restarts NAME now.
-once ()
+# run_exclusively NAME COMMAND...: runs COMMAND unless another fault is just
+# restarting NAME.
+run_exclusively ()
 {
   local name=$1
   shift
@@ -241,6 +249,8 @@
   fi
 }
 
+# kill_and_run START NAME SECONDS: kills a process and restarts it after SECONDS
+# with the function START.
 kill_and_run ()
 {
   kill_process "$2"
@@ -248,8 +258,8 @@
   "$1" "$2"
 }
 
-kill_engine () { once "$1" kill_and_run run_engine "$1" "$2"; }
-kill_service () { once "$1" kill_and_run run_service "$1" "$2"; }
+kill_engine () { run_exclusively "$1" kill_and_run run_engine "$1" "$2"; }
+kill_service () { run_exclusively "$1" kill_and_run run_service "$1" "$2"; }
 freeze_engine () { freeze "$1" "$2"; }
 freeze_service () { freeze "$1" "$2"; }
 freeze_daemon () { freeze "$1" "$2"; }
@@ -308,9 +318,10 @@
   run_daemon "$1"
 }
 
-kill_daemon () { once "$1" kill_daemon_now "$1" "$2"; }
+kill_daemon () { run_exclusively "$1" kill_daemon_now "$1" "$2"; }
 
-# A daemon that does not exit within 60 s is journalled with status -1.
+# stop_daemon_now DAEMON: stops a daemon as planned, journals its exit status,
+# or -1 if it doesn't exit within 60 s, and restarts it.
 stop_daemon_now ()
 {
   local status=-1
@@ -325,7 +336,7 @@
   run_daemon "$1"
 }
 
-stop_daemon () { once "$1" stop_daemon_now "$1"; }
+stop_daemon () { run_exclusively "$1" stop_daemon_now "$1"; }
 
 publish ()
 {
@@ -334,7 +345,7 @@
   [ -z "$version" ] || publish_as one "$1" $((version + 1)) || true
 }
 
-# Two operators publish on the same base at two daemons.
+# Two operators publish with the same base version at two daemons at once.
 race ()
 {
   local version other=${DAEMONS[0]}
--- a/tools/fleet_lib.sh
+++ b/tools/fleet_lib.sh
@@ -1,8 +1,9 @@
 # Functions that start and stop a fleet of real processes on loopback.
-# Needs: FLEET (a folder of its own), BIN (the build folder).
+# Needs FLEET (an exclusive folder) and BIN (the build folder).
 
-# start_process NAME COMMAND...: standard output goes to NAME.out, standard
-# error to NAME.log, the process id to NAME.pid.
+# start_process NAME COMMAND...: starts COMMAND in the background.  Standard
+# output goes to NAME.out, standard error to NAME.log and the process id to
+# NAME.pid, all in FLEET.
 start_process ()
 {
   local name=$1
@@ -17,21 +18,22 @@
   cat "$FLEET/$1.pid"
 }
 
-# wait_for SECONDS COMMAND...: repeats COMMAND until it succeeds.
+# wait_for SECONDS COMMAND...: repeats COMMAND until it succeeds; fails after
+# SECONDS.
 wait_for ()
 {
   local until=$((SECONDS + $1))
   shift
   while ! "$@" > /dev/null 2>&1; do
     if [ "$SECONDS" -ge "$until" ]; then
-      echo "gave up waiting for: $*" >&2
+      echo "timed out waiting for: $*" >&2
       return 1
     fi
     sleep 0.05
   done
 }
 
-# port_of NAME: the port that a stand-in printed.
+# port_of NAME: prints the port that a stand-in reported on standard output.
 port_of ()
 {
   awk '$1 == "ready" { print $2 }' "$FLEET/$1.out"
@@ -42,7 +44,8 @@
   [ -n "$(port_of "$1")" ]
 }
 
-# address_of DAEMON caller|operator: the address that a daemon printed.
+# address_of DAEMON caller|operator: prints the address that a daemon reported
+# on standard output.
 address_of ()
 {
   awk -v what="$2" '$1 == what { print $2 }' "$FLEET/$1.out"
@@ -56,7 +59,8 @@
   PLATFORM="http://127.0.0.1:$(port_of platform)"
 }
 
-# start_engine NAME MODEL LAYERS RANGE RATE FENCING: RANGE may be `none'.
+# start_engine NAME MODEL LAYERS RANGE RATE FENCING: starts a stand-in engine;
+# RANGE may be `none'.
 start_engine ()
 {
   local range=()
@@ -67,14 +71,15 @@
     --journal "$FLEET/$1.journal"
 }
 
-# start_service NAME
+# start_service NAME: starts a stand-in service.
 start_service ()
 {
   start_process "$1" "$BIN/standin-service" --port 0 --name "$1" \
     --journal "$FLEET/$1.journal"
 }
 
-# write_settings NAME DATA_CENTRE PEER_PORT SEEDS: settings of one daemon.
+# write_settings NAME DATA_CENTRE PEER_PORT SEEDS: writes the settings of one
+# daemon.
 write_settings ()
 {
   cat > "$FLEET/$1.yaml" <<END
@@ -110,7 +115,7 @@
   curl -sf "http://$(address_of "$1" caller)/readyz"
 }
 
-# operator DAEMON COMMAND...: an operator's command at one daemon.
+# operator DAEMON COMMAND...: runs an operator's command against one daemon.
 operator ()
 {
   local daemon=$1
@@ -124,14 +129,14 @@
   printf %s "$1" | sha256sum | cut -d' ' -f1
 }
 
-# write_secrets: the operators' token and the daemons' shared secret.
+# write_secrets: writes the operators' token and the daemons' shared secret.
 write_secrets ()
 {
   echo "operator-$$-$RANDOM" > "$FLEET/operator.token"
   echo "peers-$$-$RANDOM" > "$FLEET/peer.secret"
 }
 
-# stop_all: ends every process that was started here, by its id.
+# stop_all: kills every process whose id is in FLEET, also if it is stopped.
 stop_all ()
 {
   local file pid
