--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,11 @@
-# Builds the kumquatthread binary, the stand-ins and the tests.
+# Builds the kumquatthread binary, the stand-ins, the tests, the soak and the
+# benchmarks.
 #
 #   make                       optimised build in build/release
-#   make SANITIZE=address      build/address, address and UB sanitizers
-#   make SANITIZE=thread       build/thread, thread sanitizer
-#   make fuzz                  runs every fuzzer of test/fuzz, FUZZ_RUNS inputs
+#   make SANITIZE=address      build in build/address with the address and
+#                              undefined-behaviour sanitizers
+#   make SANITIZE=thread       build in build/thread with the thread sanitizer
+#   make fuzz                  runs each fuzzer of test/fuzz for FUZZ_RUNS inputs
 #   make proto                 regenerates proto/*.pb-c.[ch]; needs protoc-c
 
 SANITIZE ?= none
@@ -106,7 +108,7 @@
 
 fuzzers: $(FUZZERS)
 
-# Runs the same inputs each time: fixed seed, from the committed corpus.
+# Runs the same inputs each time: the seed is fixed and the corpus committed.
 fuzz:
 	$(MAKE) SANITIZE=fuzz fuzzers
 	tools/fuzz $(FUZZ_RUNS) $(patsubst test/fuzz/%_fuzz.c,%,$(FUZZ_SOURCES))
@@ -137,7 +139,8 @@
 	  --enable=warning,performance,portability --suppress=missingInclude \
 	  --suppress=unknownMacro -Isrc $(LINTED)
 
-# The core library decides without I/O, threads, clock or hidden randomness.
+# The core library must not use I/O, threads, the clock or a random seed of its
+# own; this checks its undefined symbols.
 lint-core: $(CORE_LIBRARY)
 	@! nm -A $(CORE_LIBRARY) | grep -E ' U (socket|connect|send|recv|read|write|open|fopen|clock_gettime|gettimeofday|time|rand|random|pthread_[a-z_]+|g_get_(real|monotonic)_time|g_random_[a-z_]+|g_rand_new)$$'
 
