--- a/bench/placement.c
+++ b/bench/placement.c
@@ -1,6 +1,6 @@
 /* Measures the quality of placements as the rate that they allow, as a share
    of the compute-only bound: for random inventories, and after the loss of a
-   host. Also measures the ranges to load after a loss, and the time to plan
+   host.  Also measures the ranges to load after a loss, and the time to plan
    and to repair the placement of the largest fleet.  Prints lines `name value
    unit target'.
 
@@ -20,6 +20,8 @@
 #define LARGE_MODELS 7
 #define LARGE_DATA_CENTRES 7
 
+/* Returns a configuration with empty entries for the given numbers of models,
+   hosts and data centres.  */
 static struct cfg_config *
 make_config (uint32_t models, uint32_t hosts, uint32_t data_centres)
 {
@@ -124,6 +126,8 @@
   return loads;
 }
 
+/* Measures placements for INVENTORIES random fleets of the given sizes and
+   prints the results under NAME.  */
 static void
 measure_random (uint32_t seed, uint32_t hosts_min, uint32_t hosts_max,
                 uint32_t models_max, const char *name)
@@ -162,6 +166,7 @@
           rate_after_loss / INVENTORIES);
 }
 
+/* Measures the planning and the repair for the largest fleet.  */
 static void
 measure_largest (uint32_t seed)
 {
--- a/bench/routing.c
+++ b/bench/routing.c
@@ -205,8 +205,8 @@
   return best;
 }
 
-/* Builds CHAIN stage by stage by the baseline policy.  All engines that hold a
-   first layer hold the same range, as the placement's boundaries are common.
+/* Builds CHAIN stage by stage by the baseline policy.  All ranges that begin
+   at one layer also end at one layer: the placement's boundaries are common.
  */
 static void
 choose_by_baseline (struct simulation *simulation, uint32_t daemon,
@@ -245,6 +245,7 @@
   g_array_free (holders, TRUE);
 }
 
+/* Sends the step of the stream INDEX at its current stage to the engine.  */
 static void
 send_step (struct simulation *simulation, uint32_t index)
 {
@@ -260,6 +261,7 @@
   schedule (simulation, simulation->now_us + link_us, EVENT_STEP, index);
 }
 
+/* Chooses a chain for the stream INDEX and sends its first step.  */
 static void
 start_stream (struct simulation *simulation, uint32_t index)
 {
@@ -321,6 +323,8 @@
     }
 }
 
+/* Answers the steps in the batch of the engine INDEX and starts the next
+   batch.  */
 static void
 finish_batch (struct simulation *simulation, uint32_t index)
 {
@@ -380,6 +384,8 @@
   start_stream (simulation, index);
 }
 
+/* Updates the daemons' view of every engine's load, and schedules the next
+   report.  */
 static void
 deliver_reports (struct simulation *simulation)
 {
@@ -397,6 +403,7 @@
             0);
 }
 
+/* Creates the snapshot of the fleet that each daemon routes by.  */
 static void
 create_snapshots (struct simulation *simulation,
                   const struct pl_placement *placement)
@@ -521,6 +528,7 @@
   return a < b ? -1 : a > b;
 }
 
+/* Prints the median, the least and the greatest of VALUES.  */
 static void
 print_values (const char *load, const char *policy, const char *name,
               double *values, const char *unit, const char *target)
--- a/soak/callers.h
+++ b/soak/callers.h
@@ -1,5 +1,5 @@
-/* The callers of a soak: send random requests to the daemons, on new and on
-   reused connections, and record each request with its answer. */
+/* Simulates the callers of a soak: sends random requests to the daemons, on
+   new and on reused connections, and records each request with its answer. */
 #ifndef SOAK_CALLERS_H
 #define SOAK_CALLERS_H
 
--- a/soak/daemons.h
+++ b/soak/daemons.h
@@ -1,7 +1,7 @@
-/* The daemons of a soak: starts each as a process with a proxy in front of the
-   store, restarts those that end, and probes their readiness as the platform's
-   load balancer does.  Processes that exit unexpectedly or exceed the memory
-   limit are reported as violations. */
+/* Runs the daemons of a soak: starts each as a process with a proxy in front
+   of the store, restarts processes that end, and probes their readiness as the
+   platform's load balancer does.  Processes that exit unexpectedly or exceed
+   the memory limit are reported as violations. */
 #ifndef SOAK_DAEMONS_H
 #define SOAK_DAEMONS_H
 
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -81,13 +81,13 @@
   struct sfl_fleet *fleet;
   struct sdm_daemons *daemons;
   struct scl_callers *callers;
-  struct stb_injector *injector;
-  int64_t ticked_us; /* time of the last tick */
-  uint32_t stalls;   /* of this process */
+  struct stb_injector *injector; /* NULL before the workload */
+  int64_t ticked_us;             /* time of the last tick */
+  uint32_t stalls;               /* of this process */
   int64_t next_request_us;
   int64_t next_probe_us;
   int64_t next_process_check_us;
-  bool sending;
+  bool sending; /* false before and after the workload */
 };
 
 static void
