--- a/bench/admission.c
+++ b/bench/admission.c
@@ -78,7 +78,7 @@
         {
           g_queue_push_tail (&admitted, GSIZE_TO_POINTER (id));
         }
-      adm_observe_step (adm, 39 * CLK_MS_US);
+      adm_observe_token_interval (adm, 39 * CLK_MS_US);
       /* One admitted stream ends for every third arrival. */
       if (id % 3 == 0 && admitted.length > 0)
         {
--- a/bench/placement.c
+++ b/bench/placement.c
@@ -147,7 +147,7 @@
       struct pl_bound bound;
       pl_find_bound (config, NULL, placement, &bound);
       fractions[i] = bound.tokens_per_s / bound.compute_only_tokens_per_s;
-      uncovered += bound.uncovered > 0;
+      uncovered += bound.under_replicated > 0;
       loads += loads_after_loss (config, placement, rand, &rate_after_loss)
                / INVENTORIES;
       pl_destroy (placement);
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -127,7 +127,7 @@
     .idle_max_us = 8 * CLK_S_US,
     .idle_margin_us = CLK_S_US,
     .connect_timeout_us = CLK_S_US,
-    .silence_ms = 20000,
+    .user_timeout_ms = 20000,
     .idle_connections_max = 16,
   };
   struct scl_callers *callers = g_new0 (struct scl_callers, 1);
--- a/soak/daemons.c
+++ b/soak/daemons.c
@@ -112,7 +112,7 @@
   const struct ncl_params client = {
     .idle_max_us = CLK_S_US,
     .connect_timeout_us = CLK_S_US,
-    .silence_ms = 2000,
+    .user_timeout_ms = 2000,
     .idle_connections_max = 1,
   };
   struct sdm_daemons *daemons = g_new0 (struct sdm_daemons, 1);
--- a/soak/injector.c
+++ b/soak/injector.c
@@ -175,12 +175,12 @@
                                      .ended_us = SRD_NEVER };
           g_array_append_val (drains, drain);
           disruption->record_index = drains->len - 1;
-          sfl_leave (fleet, disruption->target);
+          sfl_list_draining (fleet, disruption->target);
           disruption->due_us = now_us + DRAIN_BOUND_US + DRAIN_EXTRA_US;
         }
       break;
     case 1:
-      sfl_remove (fleet, disruption->target);
+      sfl_unlist (fleet, disruption->target);
       if (sfl_is_alive (fleet, disruption->target))
         {
           sfl_kill (fleet, disruption->target);
@@ -215,7 +215,7 @@
         }
       break;
     case 1:
-      sfl_remove (fleet, disruption->target);
+      sfl_unlist (fleet, disruption->target);
       schedule_next_phase (injector, disruption, now_us, 100, 2500);
       break;
     default:
@@ -264,9 +264,10 @@
                      struct disruption *disruption, int64_t now_us)
 {
   static const enum sfl_fault faults[2][6] = {
-    { SFL_REFUSES, SFL_FAILS, SFL_CUTS, SFL_TEARS, SFL_FOREIGN, SFL_MUTE },
-    { SFL_REFUSES, SFL_CUTS_MIDWAY, SFL_UNSIGNED, SFL_FOREIGN, SFL_REFUSES,
-      SFL_MUTE },
+    { SFL_REFUSES, SFL_FAILS, SFL_CLOSES, SFL_TRUNCATES, SFL_WRONG_REQUEST_ID,
+      SFL_NEVER_ANSWERS },
+    { SFL_REFUSES, SFL_CLOSES_MIDWAY, SFL_UNSIGNED, SFL_WRONG_REQUEST_ID,
+      SFL_REFUSES, SFL_NEVER_ANSWERS },
   };
   if (disruption->phase++ == 0)
     {
@@ -278,7 +279,7 @@
       schedule_next_phase (injector, disruption, now_us, 500, 2000);
       return;
     }
-  sfl_set_fault (injector->params.fleet, disruption->target == 1, SFL_SOUND,
+  sfl_set_fault (injector->params.fleet, disruption->target == 1, SFL_NO_FAULT,
                  0);
   disruption->ended = true;
 }
@@ -288,7 +289,8 @@
                   int64_t now_us)
 {
   static const enum sfl_store_state states[]
-      = { SFL_STORE_REFUSES, SFL_STORE_SILENT, SFL_STORE_LOSES };
+      = { SFL_STORE_REFUSES, SFL_STORE_NEVER_ANSWERS,
+          SFL_STORE_LOSES_ANSWERS };
   if (disruption->phase++ == 0)
     {
       sfl_set_store (injector->params.fleet,
@@ -296,7 +298,7 @@
       schedule_next_phase (injector, disruption, now_us, 300, 6000);
       return;
     }
-  sfl_set_store (injector->params.fleet, SFL_STORE_SOUND);
+  sfl_set_store (injector->params.fleet, SFL_STORE_NO_FAULT);
   disruption->ended = true;
 }
 
@@ -308,11 +310,11 @@
   (void)now_us;
   if (draw (injector, 0, 2) == 0)
     {
-      sfl_forget_history (injector->params.fleet);
+      sfl_truncate_history (injector->params.fleet);
     }
   else
     {
-      sfl_deal_anew (injector->params.fleet);
+      sfl_rebalance (injector->params.fleet);
     }
   disruption->ended = true;
 }
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -114,8 +114,8 @@
 
 static const struct sfl_observer observer = {
   .arrived = on_arrival,
-  .runs = on_run_begin,
-  .rests = on_run_end,
+  .started = on_run_begin,
+  .stopped = on_run_end,
 };
 
 /* Creates a proxy in front of the endpoint at ADDRESS and returns the address
--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -142,7 +142,7 @@
 
 /* Sets SERIES, a gauge, to VALUE.  Thread-safe and lock-free.  */
 void
-cnt_put (struct cnt_series *series, int64_t value)
+cnt_set_gauge (struct cnt_series *series, int64_t value)
 {
   atomic_store_explicit (&series->value, value, memory_order_relaxed);
 }
--- a/src/base/counter.h
+++ b/src/base/counter.h
@@ -28,7 +28,7 @@
                                   const char *labels, const char *help);
 void cnt_observe_us (struct cnt_series *histogram, int64_t duration_us);
 void cnt_add (struct cnt_series *series, int64_t amount);
-void cnt_put (struct cnt_series *series, int64_t value);
+void cnt_set_gauge (struct cnt_series *series, int64_t value);
 int64_t cnt_get (const struct cnt_series *series);
 void cnt_render (struct cnt_set *set, GString *out);
 
--- a/src/base/error.c
+++ b/src/base/error.c
@@ -2,7 +2,7 @@
 
 /* The kinds' names and HTTP statuses are part of the API.  Entries leave out
    `ran' when it is ERR_RAN_NO and `retry_after_s' when it is 0. */
-static const struct err_answer answers[ERR_KIND_COUNT] = {
+static const struct err_info answers[ERR_KIND_COUNT] = {
   [ERR_NONE] = { .name = "none",
                  .http_status = 200,
                  .ran = ERR_RAN_YES,
@@ -132,8 +132,8 @@
 
 /* Returns the name, HTTP status and defaults of KIND, or those of ERR_INTERNAL
    if KIND is out of range.  The result is static.  */
-const struct err_answer *
-err_answer (enum err_kind kind)
+const struct err_info *
+err_info (enum err_kind kind)
 {
   if (kind >= ERR_KIND_COUNT)
     {
@@ -180,9 +180,10 @@
    MESSAGE is truncated to ERR_MESSAGE_BYTES - 1 bytes; NULL stands for the
    kind's summary.  */
 void
-err_fail (struct err_failure *failure, enum err_kind kind, const char *message)
+err_set_failure (struct err_failure *failure, enum err_kind kind,
+                 const char *message)
 {
-  const struct err_answer *answer = err_answer (kind);
+  const struct err_info *answer = err_info (kind);
   failure->kind = kind;
   failure->ran = answer->ran;
   failure->retry_after_s = answer->retry_after_s;
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -51,7 +51,7 @@
 };
 
 /* What a caller receives for one error kind. */
-struct err_answer
+struct err_info
 {
   const char *name; /* the `kind` field of an error body */
   uint16_t http_status;
@@ -75,10 +75,10 @@
 #define ERR_DOMAIN (err_domain ())
 
 GQuark err_domain (void);
-const struct err_answer *err_answer (enum err_kind kind);
+const struct err_info *err_info (enum err_kind kind);
 const char *err_ran_name (enum err_ran ran);
 enum err_kind err_kind_of (const GError *error);
-void err_fail (struct err_failure *failure, enum err_kind kind,
-               const char *message);
+void err_set_failure (struct err_failure *failure, enum err_kind kind,
+                      const char *message);
 
 #endif
--- a/src/base/http.c
+++ b/src/base/http.c
@@ -15,7 +15,7 @@
   const struct mg_request_info *info = mg_get_request_info (connection);
   if (info->content_length > (long long)bytes_max)
     {
-      err_fail (failure, ERR_TOO_LARGE, NULL);
+      err_set_failure (failure, ERR_TOO_LARGE, NULL);
       return NULL;
     }
   GString *body = g_string_new (NULL);
@@ -33,8 +33,8 @@
   if (too_large || incomplete)
     {
       g_string_free (body, TRUE);
-      err_fail (failure, too_large ? ERR_TOO_LARGE : ERR_BAD_REQUEST,
-                too_large ? NULL : "the body broke off");
+      err_set_failure (failure, too_large ? ERR_TOO_LARGE : ERR_BAD_REQUEST,
+                       too_large ? NULL : "the body broke off");
       return NULL;
     }
   return body;
@@ -79,9 +79,9 @@
 http_failure_body (const struct err_failure *failure)
 {
   json_t *error = json_pack (
-      "{s:s, s:s, s:s, s:s}", "kind", err_answer (failure->kind)->name, "ran",
+      "{s:s, s:s, s:s, s:s}", "kind", err_info (failure->kind)->name, "ran",
       err_ran_name (failure->ran), "message", failure->message, "type",
-      err_answer (failure->kind)->name);
+      err_info (failure->kind)->name);
   if (failure->retry_after_s > 0)
     {
       json_object_set_new (error, "retry_after_s",
@@ -106,7 +106,7 @@
     }
   json_t *body = http_failure_body (failure);
   char *text = json_dumps (body, JSON_COMPACT);
-  http_send (connection, err_answer (failure->kind)->http_status,
+  http_send (connection, err_info (failure->kind)->http_status,
              "application/json", headers, text, strlen (text));
   free (text);
   json_decref (body);
--- a/src/caller/caller.h
+++ b/src/caller/caller.h
@@ -32,7 +32,7 @@
 };
 
 /* The id of a request, and the options from its headers. */
-struct cal_terms
+struct cal_request_options
 {
   char request_id[48];
   uint32_t priority;   /* 0 (highest) to 3 */
@@ -63,8 +63,8 @@
 struct cal_draft_result
 {
   uint32_t prompt_tokens;
-  uint32_t tokens; /* generated */
-  bool ended;      /* by the model; false: by max_tokens */
+  uint32_t tokens;     /* generated */
+  bool ended_by_model; /* by the model; false: by max_tokens */
   uint32_t attempts;
   char *path; /* the endpoints that ran it; to be freed by the server */
 };
@@ -87,13 +87,13 @@
                      struct cal_account *account, struct err_failure *failure);
   /* Runs a completion and calls ON_TOKEN with TOKEN_DATA for each token. */
   bool (*run_draft) (void *user_data, const struct cal_account *account,
-                     const struct cal_terms *terms,
+                     const struct cal_request_options *terms,
                      const struct cal_draft *draft, cal_on_token on_token,
                      void *token_data, struct cal_draft_result *result,
                      struct err_failure *failure);
   /* Forwards CALL to an endpoint of the service and sets ANSWER. */
   bool (*call_service) (void *user_data, const struct cal_account *account,
-                        const struct cal_terms *terms,
+                        const struct cal_request_options *terms,
                         const struct cal_service_call *call,
                         struct cal_service_answer *answer,
                         struct err_failure *failure);
@@ -129,7 +129,7 @@
                                       GError **error);
 void cal_server_destroy (struct cal_server *server);
 uint16_t cal_server_port (const struct cal_server *server);
-int64_t cal_server_under_way (const struct cal_server *server);
+int64_t cal_server_requests_in_progress (const struct cal_server *server);
 
 bool cal_draft_parse (const char *text, size_t bytes, bool chat,
                       struct cal_draft *draft, struct err_failure *failure);
--- a/src/caller/chat.c
+++ b/src/caller/chat.c
@@ -9,7 +9,7 @@
 {
   struct mg_connection *connection;
   const struct cal_draft *draft;
-  const struct cal_terms *terms;
+  const struct cal_request_options *terms;
   int64_t created_s;
   bool started;  /* the headers of a streamed response have been sent */
   GString *text; /* generated so far; unused by a streamed response */
@@ -93,7 +93,7 @@
 static const char *
 finish_reason (const struct cal_draft_result *result)
 {
-  return result->ended ? "stop" : "length";
+  return result->ended_by_model ? "stop" : "length";
 }
 
 static void
@@ -185,8 +185,8 @@
    kind of error, or ERR_NONE.  */
 enum err_kind
 chat_handle (const struct chat_env *env, struct mg_connection *connection,
-             const struct cal_account *account, const struct cal_terms *terms,
-             bool chat)
+             const struct cal_account *account,
+             const struct cal_request_options *terms, bool chat)
 {
   struct err_failure failure;
   GString *body = http_read_body (connection, env->body_bytes_max, &failure);
--- a/src/caller/chat.h
+++ b/src/caller/chat.h
@@ -17,6 +17,6 @@
 enum err_kind chat_handle (const struct chat_env *env,
                            struct mg_connection *connection,
                            const struct cal_account *account,
-                           const struct cal_terms *terms, bool chat);
+                           const struct cal_request_options *terms, bool chat);
 
 #endif
--- a/src/caller/draft_body.c
+++ b/src/caller/draft_body.c
@@ -8,7 +8,7 @@
 static bool
 reject (struct err_failure *failure, const char *message)
 {
-  err_fail (failure, ERR_BAD_REQUEST, message);
+  err_set_failure (failure, ERR_BAD_REQUEST, message);
   return false;
 }
 
--- a/src/caller/server.c
+++ b/src/caller/server.c
@@ -39,7 +39,7 @@
    FAILURE to ERR_BAD_REQUEST when a header is not valid.  */
 static bool
 read_terms (struct cal_server *server, struct mg_connection *connection,
-            struct cal_terms *terms, struct err_failure *failure)
+            struct cal_request_options *terms, struct err_failure *failure)
 {
   const char *priority = mg_get_header (connection, "X-Priority");
   const char *deadline = mg_get_header (connection, "X-Deadline-Ms");
@@ -53,8 +53,8 @@
       if (!g_ascii_string_to_unsigned (deadline, 10, 1, 86400000, &deadline_ms,
                                        NULL))
         {
-          err_fail (failure, ERR_BAD_REQUEST,
-                    "X-Deadline-Ms: 1 to 86400000 is needed");
+          err_set_failure (failure, ERR_BAD_REQUEST,
+                           "X-Deadline-Ms: 1 to 86400000 is needed");
           return false;
         }
       terms->deadline_us
@@ -64,7 +64,8 @@
       && !g_ascii_string_to_unsigned (priority, 10, 0, PRIORITY_LOWEST, &value,
                                       NULL))
     {
-      err_fail (failure, ERR_BAD_REQUEST, "X-Priority: 0 to 3 is needed");
+      err_set_failure (failure, ERR_BAD_REQUEST,
+                       "X-Priority: 0 to 3 is needed");
       return false;
     }
   terms->priority = (uint32_t)value;
@@ -79,7 +80,7 @@
   char hex[CFG_SHA256_HEX_BYTES];
   if (!http_bearer_sha256 (connection, hex, sizeof hex))
     {
-      err_fail (failure, ERR_UNAUTHORIZED, NULL);
+      err_set_failure (failure, ERR_UNAUTHORIZED, NULL);
       return false;
     }
   return server->params.backend->authorize (server->params.user_data, hex,
@@ -113,15 +114,16 @@
    the kind of error, or ERR_NONE.  */
 static enum err_kind
 forward_call (struct cal_server *server, struct mg_connection *connection,
-              const struct cal_account *account, const struct cal_terms *terms,
+              const struct cal_account *account,
+              const struct cal_request_options *terms,
               const struct cal_service_call *call)
 {
   struct err_failure failure = { .kind = ERR_NONE };
   struct cal_service_answer response = { .body = NULL };
   if (call->key != NULL && strlen (call->key) > KEY_BYTES_MAX)
     {
-      err_fail (&failure, ERR_BAD_REQUEST,
-                "Idempotency-Key: at most 128 bytes are allowed");
+      err_set_failure (&failure, ERR_BAD_REQUEST,
+                       "Idempotency-Key: at most 128 bytes are allowed");
     }
   else if (server->params.backend->call_service (server->params.user_data,
                                                  account, terms, call,
@@ -151,7 +153,7 @@
 handle_service_call (struct cal_server *server,
                      struct mg_connection *connection,
                      const struct cal_account *account,
-                     const struct cal_terms *terms)
+                     const struct cal_request_options *terms)
 {
   const struct mg_request_info *info = mg_get_request_info (connection);
   struct err_failure failure;
@@ -159,7 +161,7 @@
   GString *path = g_string_new (NULL);
   if (!split_service_path (info, service, sizeof service, path))
     {
-      err_fail (&failure, ERR_NOT_FOUND, NULL);
+      err_set_failure (&failure, ERR_NOT_FOUND, NULL);
       http_send_failure (connection, &failure);
       g_string_free (path, TRUE);
       return failure.kind;
@@ -234,7 +236,7 @@
 static enum err_kind
 handle_authorized (struct cal_server *server, struct mg_connection *connection,
                    const struct cal_account *account,
-                   const struct cal_terms *terms)
+                   const struct cal_request_options *terms)
 {
   const struct mg_request_info *info = mg_get_request_info (connection);
   const char *uri = info->local_uri;
@@ -260,7 +262,7 @@
       return handle_model_list (server, connection);
     }
   struct err_failure failure;
-  err_fail (&failure, ERR_NOT_FOUND, NULL);
+  err_set_failure (&failure, ERR_NOT_FOUND, NULL);
   http_send_failure (connection, &failure);
   return failure.kind;
 }
@@ -273,7 +275,7 @@
   struct cal_server *server = user_data;
   const struct mg_request_info *info = mg_get_request_info (connection);
   struct cal_account account;
-  struct cal_terms terms;
+  struct cal_request_options terms;
   struct err_failure failure;
   enum err_kind kind;
   atomic_fetch_add (&server->requests_in_progress, 1);
@@ -285,7 +287,7 @@
       lg_line (LOG_INFO, "request",
                "request=%s account=%s method=%s path=%s kind=%s us=%ld",
                terms.request_id, account.name, info->request_method,
-               info->local_uri, err_answer (kind)->name,
+               info->local_uri, err_info (kind)->name,
                (long)(clk_monotonic_us () - start_us));
     }
   else
@@ -359,7 +361,7 @@
     {
       char labels[64];
       g_snprintf (labels, sizeof labels, "kind=\"%s\"",
-                  err_answer ((enum err_kind)i)->name);
+                  err_info ((enum err_kind)i)->name);
       server->responses[i] = cnt_series (server->params.counters, CNT_COUNTER,
                                          "kumquatthread_answers_total", labels,
                                          "Answers to callers by error kind");
@@ -436,8 +438,8 @@
 }
 
 /* Stops listening, ends the threads and frees SERVER, which may be NULL.
-   Requests in progress are aborted: wait first until cal_server_under_way
-   returns 0.  */
+   Requests in progress are aborted: wait first until
+   cal_server_requests_in_progress returns 0.  */
 void
 cal_server_destroy (struct cal_server *server)
 {
@@ -458,7 +460,7 @@
 
 /* Returns the number of requests in progress.  */
 int64_t
-cal_server_under_way (const struct cal_server *server)
+cal_server_requests_in_progress (const struct cal_server *server)
 {
   return atomic_load (&server->requests_in_progress);
 }
--- a/src/cli/client.c
+++ b/src/cli/client.c
@@ -51,7 +51,7 @@
   if (kind != ERR_NONE)
     {
       fprintf (stderr, "kumquatthread: %s: %s\n", api->url,
-               err_answer (kind)->summary);
+               err_info (kind)->summary);
     }
   else
     {
--- a/src/cli/plan.c
+++ b/src/cli/plan.c
@@ -56,7 +56,7 @@
       printf ("bottleneck %s:%u-%u\n", config->models[bound.model].name,
               bound.first, bound.end);
     }
-  printf ("without-spare %u ranges\n", bound.uncovered);
+  printf ("without-spare %u ranges\n", bound.under_replicated);
   printf ("loads %u ranges %" G_GUINT64_FORMAT " MiB\n", moves.loads,
           moves.load_mib);
 }
--- a/src/cli/serve.c
+++ b/src/cli/serve.c
@@ -48,10 +48,10 @@
   dmn_begin_stop (daemon);
   int64_t stop_began_us = clk_monotonic_us ();
   lg_line (LOG_NOTICE, "stopping", "under_way=%ld",
-           (long)dmn_under_way (daemon));
+           (long)dmn_requests_in_progress (daemon));
   uint32_t signal_count = 1;
   while (clk_monotonic_us () < stop_began_us + READYZ_LAG_US
-         || dmn_under_way (daemon) > 0)
+         || dmn_requests_in_progress (daemon) > 0)
     {
       if (wait_for_signal (signals) < 0)
         {
@@ -61,7 +61,7 @@
       lg_line (
           LOG_WARNING, "stopping",
           "under_way=%ld message=\"another signal aborts these requests\"",
-          (long)dmn_under_way (daemon));
+          (long)dmn_requests_in_progress (daemon));
       if (signal_count > 2)
         {
           return;
--- a/src/config/entry_settings.c
+++ b/src/config/entry_settings.c
@@ -74,7 +74,7 @@
     .min = 512,
     .max = UINT32_MAX },
   DURATION ("drain_ms", drain_us, US_PER_MS),
-  DURATION ("config_ms", config_us, US_PER_MS),
+  DURATION ("config_ms", config_apply_max_us, US_PER_MS),
   DURATION ("revoke_ms", revoke_us, US_PER_MS),
   DURATION ("stop_s", stop_us, US_PER_S),
   DURATION ("retry_window_s", retry_window_us, US_PER_S),
--- a/src/config/entry_settings.h
+++ b/src/config/entry_settings.h
@@ -17,10 +17,11 @@
   char **relays;         /* IP:PORT of daemons that relay; NULL-terminated */
   uint32_t store_partitions; /* of each topic in the store */
   uint32_t descriptors;      /* file descriptors that the process may open */
-  int64_t drain_us;  /* how long a leaving endpoint may still get requests */
-  int64_t config_us; /* within this, a new configuration is in force */
-  int64_t revoke_us; /* how long a revoked API key may still be served */
-  int64_t stop_us;   /* time from SIGTERM to SIGKILL */
+  int64_t drain_us; /* how long a leaving endpoint may still get requests */
+  int64_t
+      config_apply_max_us; /* within this, a new configuration is in force */
+  int64_t revoke_us;       /* how long a revoked API key may still be served */
+  int64_t stop_us;         /* time from SIGTERM to SIGKILL */
   int64_t retry_window_us; /* sliding window of the retry budget */
   double retry_ratio;      /* retries per request in the window */
   uint32_t retry_slack;    /* additional retries per window, for all daemons */
--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -524,7 +524,7 @@
 
 /* Reports the time between two tokens of a running stream.  */
 void
-adm_observe_step (struct adm *adm, int64_t between_tokens_us)
+adm_observe_token_interval (struct adm *adm, int64_t between_tokens_us)
 {
   con_observe (&adm->limit, between_tokens_us, adm->streams);
 }
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -73,7 +73,7 @@
                         int64_t now_us);
 bool adm_hedge_allowed (struct adm *adm, uint32_t index, bool idempotent,
                         int64_t now_us);
-void adm_observe_step (struct adm *adm, int64_t between_tokens_us);
+void adm_observe_token_interval (struct adm *adm, int64_t between_tokens_us);
 void adm_local_demand (struct adm *adm, uint32_t index, int64_t now_us,
                        struct adm_demand *demand);
 void adm_apply_fleet_demand (struct adm *adm, uint32_t index,
--- a/src/core/assign.c
+++ b/src/core/assign.c
@@ -252,7 +252,7 @@
   double total_demand = 0.0;
   for (uint32_t i = 0; i < problem->engine_count; i++)
     {
-      if (!fl_reached (network->flow, 1 + i))
+      if (!fl_on_source_side (network->flow, 1 + i))
         {
           rate += problem->engines[i].rate;
         }
@@ -260,7 +260,7 @@
   for (uint32_t j = 0; j < problem->segment_count; j++)
     {
       uint32_t node = 1 + problem->engine_count + j;
-      assignment->limiting[j] = !fl_reached (network->flow, node);
+      assignment->limiting[j] = !fl_on_source_side (network->flow, node);
       total_demand += problem->segments[j].demand;
       if (assignment->limiting[j])
         {
@@ -301,7 +301,7 @@
           fl_set_capacity (network.flow, network.demand_edges[j],
                            rate * problem->segments[j].demand);
         }
-      double flow = fl_maximum (network.flow, 0, sink);
+      double flow = fl_max_flow (network.flow, 0, sink);
       if (flow >= rate * demand * (1.0 - RELATIVE_TOLERANCE))
         {
           break;
--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -9,7 +9,7 @@
 static bool
 is_repeatable (const struct att_request *request)
 {
-  return request->repeat == FLT_REPEAT_FREELY
+  return request->repeat == FLT_REPEAT_IDEMPOTENT
          || (request->repeat == FLT_REPEAT_STREAM && request->resumable);
 }
 
@@ -20,7 +20,7 @@
 {
   if (request->answer_begun)
     {
-      verdict->next = ATT_BREAK_OFF;
+      verdict->next = ATT_ABORT_ANSWER;
       return;
     }
   if (end == ATT_FAILED)
@@ -45,8 +45,8 @@
 
 /* Sets VERDICT to the next action for REQUEST after an attempt that ended with
    END.  If the verdict has `needs_budget' set, a repeat must be taken from
-   the retry budget; if the budget is exhausted, att_decide_unpaid gives
-   the action instead.  */
+   the retry budget; if the budget is exhausted, att_decide_without_budget
+   gives the action instead.  */
 void
 att_decide (const struct att_request *request, enum att_end end,
             struct att_verdict *verdict)
@@ -54,7 +54,7 @@
   *verdict = (struct att_verdict){ 0 };
   bool attempts_exhausted = request->may_have_run >= request->attempts_max
                             || request->sent >= ATT_SENT_MAX;
-  bool too_late = request->left_us < ATT_MIN_LEFT_US;
+  bool too_late = request->remaining_us < ATT_MIN_LEFT_US;
   bool may_send_again = request->may_have_run == 0 || is_repeatable (request);
   if (end == ATT_TIMED_OUT || attempts_exhausted || too_late
       || !may_send_again)
@@ -76,7 +76,7 @@
   struct att_verdict verdict;
   silent_request.may_have_run++;
   silent_request.sent++;
-  att_decide (&silent_request, ATT_SILENT, &verdict);
+  att_decide (&silent_request, ATT_NO_RESPONSE, &verdict);
   return verdict.next == ATT_RETRY || verdict.next == ATT_RESUME;
 }
 
@@ -84,8 +84,8 @@
    with END, because the retry budget is exhausted or no endpoint is
    available.  */
 void
-att_decide_unpaid (const struct att_request *request, enum att_end end,
-                   struct att_verdict *verdict)
+att_decide_without_budget (const struct att_request *request, enum att_end end,
+                           struct att_verdict *verdict)
 {
   *verdict = (struct att_verdict){ 0 };
   set_final_action (request, end, verdict);
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -15,9 +15,10 @@
   ATT_NOT_RUN,  /* the endpoint stated that it didn't run the request */
   ATT_FAILED,   /* the endpoint responded with an error of its own */
   ATT_CUT_OFF,  /* the response was incomplete; the request may have run */
-  ATT_SPOILED,  /* the response is invalid or belongs to another request */
-  ATT_SILENT,   /* abandoned without a response; the request may have run */
-  ATT_TIMED_OUT /* the request's deadline has passed */
+  ATT_INVALID_ANSWER, /* the response is invalid or belongs to another request
+                       */
+  ATT_NO_RESPONSE, /* abandoned without a response; the request may have run */
+  ATT_TIMED_OUT    /* the request's deadline has passed */
 };
 
 /* Next action for a request. */
@@ -27,7 +28,7 @@
   ATT_RESUME, /* send it again, to continue after the last delivered event */
   ATT_PASS_FAILURE, /* deliver the endpoint's error response */
   ATT_ANSWER,       /* deliver an error response generated here */
-  ATT_BREAK_OFF     /* the response has begun: close the caller's connection */
+  ATT_ABORT_ANSWER  /* the response has begun: close the caller's connection */
 };
 
 /* State of a request after its latest attempt. */
@@ -38,8 +39,8 @@
   bool answer_begun;      /* response headers were sent to the caller */
   uint32_t attempts_max;  /* attempts that may run the request */
   uint32_t may_have_run;  /* attempts that may have run, the latest included */
-  uint32_t sent;   /* attempts that reached or may have reached an endpoint */
-  int64_t left_us; /* time until the request's deadline */
+  uint32_t sent; /* attempts that reached or may have reached an endpoint */
+  int64_t remaining_us; /* time until the request's deadline */
 };
 
 struct att_verdict
@@ -60,7 +61,7 @@
 void att_decide (const struct att_request *request, enum att_end end,
                  struct att_verdict *verdict);
 bool att_may_abandon (const struct att_request *request);
-void att_decide_unpaid (const struct att_request *request, enum att_end end,
-                        struct att_verdict *verdict);
+void att_decide_without_budget (const struct att_request *request,
+                                enum att_end end, struct att_verdict *verdict);
 
 #endif
--- a/src/core/bound.c
+++ b/src/core/bound.c
@@ -18,7 +18,7 @@
   struct as_assignment *assignment = pb_to_assignment (problem, placement);
   as_evaluate (assignment);
   bound->tokens_per_s = assignment->tokens_per_s;
-  bound->uncovered = as_count_under_replicated (assignment);
+  bound->under_replicated = as_count_under_replicated (assignment);
   uint32_t fewest_holders = UINT32_MAX;
   for (uint32_t i = 0; i < problem->as_problem.segment_count; i++)
     {
--- a/src/core/burn_record.c
+++ b/src/core/burn_record.c
@@ -107,7 +107,7 @@
   packed->objective = cause->objective;
   if (cause->error != ERR_NONE)
     {
-      packed->error = get_name_index (table, err_answer (cause->error)->name);
+      packed->error = get_name_index (table, err_info (cause->error)->name);
     }
   packed->endpoint = get_name_index (table, cause->endpoint);
   packed->data_centre = get_name_index (table, cause->data_centre);
@@ -212,7 +212,7 @@
 {
   for (int i = 0; i < ERR_KIND_COUNT; i++)
     {
-      if (strcmp (err_answer ((enum err_kind)i)->name, name) == 0)
+      if (strcmp (err_info ((enum err_kind)i)->name, name) == 0)
         {
           return (enum err_kind)i;
         }
--- a/src/core/burn_report.c
+++ b/src/core/burn_report.c
@@ -96,7 +96,7 @@
 static const char *
 get_error_name (const struct brn_cause *cause)
 {
-  return cause->error == ERR_NONE ? "late" : err_answer (cause->error)->name;
+  return cause->error == ERR_NONE ? "late" : err_info (cause->error)->name;
 }
 
 static const char *
--- a/src/core/claims.c
+++ b/src/core/claims.c
@@ -186,7 +186,7 @@
     .request_id = request_id,
     .kind = info->kind,
     .ran = info->ran,
-    .retry_after_s = err_answer (info->kind)->retry_after_s,
+    .retry_after_s = err_info (info->kind)->retry_after_s,
     .status = info->status,
     .body = info->body == NULL ? NULL : g_bytes_ref (info->body),
     .body_omitted = info->body_omitted,
@@ -375,8 +375,8 @@
 }
 
 /* Starts CALL.  The result is ACT_ANSWER, or ACT_DISPATCH once its claim has
-   won.  After ACT_DISPATCH the control thread has to call clm_sent () just
-   before the first byte is sent, and clm_not_run (), clm_outcome () or
+   won.  After ACT_DISPATCH the control thread has to call clm_begin_send ()
+   just before the first byte is sent, and clm_not_run (), clm_outcome () or
    clm_unknown () afterwards, which give the ACT_ANSWER.  Error kinds:
    ERR_BAD_REQUEST, ERR_KEY_CONFLICT, ERR_KEY_IN_PROGRESS, ERR_KEY_UNKNOWN,
    ERR_KEY_EXPIRED, ERR_LOG_UNAVAILABLE, ERR_APPEND_UNKNOWN, ERR_NOT_READY,
@@ -477,7 +477,7 @@
    to be called just before the first byte is sent.  When the result is false
    the call must not be sent, and clm_not_run () has to be called.  */
 bool
-clm_sent (struct clm *clm, uint64_t request_id, int64_t now_us)
+clm_begin_send (struct clm *clm, uint64_t request_id, int64_t now_us)
 {
   struct clm_claim *claim = clm_find (clm, request_id);
   if (claim == NULL || claim->phase != CLM_WON)
--- a/src/core/claims.h
+++ b/src/core/claims.h
@@ -85,7 +85,7 @@
                   struct act_list *actions);
 void clm_caller_gone (struct clm *clm, uint64_t request_id, int64_t now_us,
                       struct act_list *actions);
-bool clm_sent (struct clm *clm, uint64_t request_id, int64_t now_us);
+bool clm_begin_send (struct clm *clm, uint64_t request_id, int64_t now_us);
 void clm_not_run (struct clm *clm, uint64_t request_id, enum err_kind kind,
                   int64_t now_us, struct act_list *actions);
 void clm_outcome (struct clm *clm, uint64_t request_id, uint32_t status,
@@ -97,20 +97,20 @@
                       int64_t now_us, struct act_list *actions);
 void clm_append_refused (struct clm *clm, uint64_t token, int64_t now_us,
                          struct act_list *actions);
-void clm_append_lost (struct clm *clm, uint64_t token, int64_t now_us,
-                      struct act_list *actions);
+void clm_append_unknown (struct clm *clm, uint64_t token, int64_t now_us,
+                         struct act_list *actions);
 void clm_log_record (struct clm *clm, const char *stream, uint64_t offset,
                      int64_t time_us, GBytes *bytes, int64_t now_us,
                      struct act_list *actions);
 void clm_log_position (struct clm *clm, const char *stream, uint64_t first,
                        uint64_t next, int64_t now_us);
-void clm_log_out (struct clm *clm, int64_t now_us);
+void clm_log_unavailable (struct clm *clm, int64_t now_us);
 void clm_tick (struct clm *clm, int64_t now_us, struct act_list *actions);
 
 void clm_set_share (struct clm *clm, uint32_t daemons, uint32_t rank);
 void clm_set_weight (struct clm *clm, const char *account, uint32_t weight);
-void clm_peers_reach_log (struct clm *clm, bool reach, int64_t now_us);
-void clm_holder_gone (struct clm *clm, uint64_t incarnation);
+void clm_set_peers_reach_log (struct clm *clm, bool reach, int64_t now_us);
+void clm_holder_dead (struct clm *clm, uint64_t incarnation);
 void clm_accept_full_history (struct clm *clm);
 
 struct clm_info clm_lookup (struct clm *clm, const char *account,
--- a/src/core/claims_append.c
+++ b/src/core/claims_append.c
@@ -216,8 +216,8 @@
    shows whether the record is there; a claim that is not read back within
    read_back_wait_us is released.  */
 void
-clm_append_lost (struct clm *clm, uint64_t token, int64_t now_us,
-                 struct act_list *actions)
+clm_append_unknown (struct clm *clm, uint64_t token, int64_t now_us,
+                    struct act_list *actions)
 {
   struct clm_pending_append *append
       = g_hash_table_lookup (clm->pending_appends, &token);
--- a/src/core/claims_operator.c
+++ b/src/core/claims_operator.c
@@ -30,7 +30,7 @@
    Has to be called on every heartbeat.  When two calls are further apart than
    outage_margin_us, a peer is assumed to have reached the log in between.  */
 void
-clm_peers_reach_log (struct clm *clm, bool reach, int64_t now_us)
+clm_set_peers_reach_log (struct clm *clm, bool reach, int64_t now_us)
 {
   bool late = now_us - clm->peers_updated_us > clm->params.outage_margin_us;
   if (reach || late)
@@ -44,7 +44,7 @@
 /* Records that the daemon of INCARNATION is dead, so that its claims without
    an outcome count as unknown.  */
 void
-clm_holder_gone (struct clm *clm, uint64_t incarnation)
+clm_holder_dead (struct clm *clm, uint64_t incarnation)
 {
   uint64_t *copy = g_new (uint64_t, 1);
   *copy = incarnation;
@@ -226,7 +226,7 @@
 answer_operator (uint64_t request_id, enum err_kind kind,
                  struct act_list *actions)
 {
-  const struct err_answer *answer = err_answer (kind);
+  const struct err_info *answer = err_info (kind);
   struct act action = { .kind = ACT_ANSWER };
   action.answer
       = (struct act_answer){ .request_id = request_id,
--- a/src/core/claims_read.c
+++ b/src/core/claims_read.c
@@ -282,7 +282,7 @@
    can claim a key.  Has to be called for every such report.  A report is valid
    for outage_margin_us, and ends at the next clm_log_position ().  */
 void
-clm_log_out (struct clm *clm, int64_t now_us)
+clm_log_unavailable (struct clm *clm, int64_t now_us)
 {
   for (uint32_t i = 0; i < CLM_PARTITIONS; i++)
     {
--- a/src/core/confstate.c
+++ b/src/core/confstate.c
@@ -246,8 +246,8 @@
    when its record is read back from the log; cst_tick withdraws it when that
    takes too long.  */
 void
-cst_append_lost (struct cst *cst, uint64_t token, int64_t now_us,
-                 struct act_list *actions)
+cst_append_unknown (struct cst *cst, uint64_t token, int64_t now_us,
+                    struct act_list *actions)
 {
   cst_append_done (cst, token, 0, now_us, actions);
 }
--- a/src/core/confstate.h
+++ b/src/core/confstate.h
@@ -64,8 +64,8 @@
                       int64_t now_us, struct act_list *actions);
 void cst_append_refused (struct cst *cst, uint64_t token, int64_t now_us,
                          struct act_list *actions);
-void cst_append_lost (struct cst *cst, uint64_t token, int64_t now_us,
-                      struct act_list *actions);
+void cst_append_unknown (struct cst *cst, uint64_t token, int64_t now_us,
+                         struct act_list *actions);
 void cst_log_record (struct cst *cst, uint64_t offset, int64_t time_us,
                      GBytes *bytes, int64_t now_us, struct act_list *actions);
 void cst_log_position (struct cst *cst, uint64_t first, uint64_t next,
--- a/src/core/evidence.c
+++ b/src/core/evidence.c
@@ -16,12 +16,12 @@
 bool
 evd_usable (struct evd_evidence *evidence, int64_t now_us)
 {
-  if (evidence->state == EVD_BACKOFF && now_us >= evidence->rest_until_us)
+  if (evidence->state == EVD_BACKOFF && now_us >= evidence->backoff_until_us)
     {
-      evidence->state = EVD_PROVING;
+      evidence->state = EVD_PROBING;
     }
   return evidence->state == EVD_HEALTHY
-         || (evidence->state == EVD_PROVING && evidence->in_flight == 0);
+         || (evidence->state == EVD_PROBING && evidence->in_flight == 0);
 }
 
 /* Counts a request that is sent to the endpoint.  */
@@ -48,27 +48,27 @@
                              ? (double)latency_us
                              : evidence->latency_us * (1 - NEWEST_WEIGHT)
                                    + (double)latency_us * NEWEST_WEIGHT;
-  if (evidence->state == EVD_PROVING)
+  if (evidence->state == EVD_PROBING)
     {
       evidence->state = EVD_HEALTHY;
     }
-  if (evidence->state == EVD_HEALTHY && evidence->strikes > 0
+  if (evidence->state == EVD_HEALTHY && evidence->backoffs > 0
       && evidence->failure_rate < NEWEST_WEIGHT)
     {
-      evidence->strikes = 0;
+      evidence->backoffs = 0;
     }
 }
 
 /* Records a failed request that shows PROOF.  Returns whether the failure
    starts a backoff.  */
 bool
-evd_failure (struct evd_evidence *evidence, enum evd_proof proof,
+evd_failure (struct evd_evidence *evidence, enum evd_failure_kind proof,
              int64_t now_us)
 {
-  bool conclusive = proof != EVD_DOUBT;
-  if (proof == EVD_DEATH || proof == EVD_REFUSAL)
+  bool conclusive = proof != EVD_INCONCLUSIVE;
+  if (proof == EVD_DEAD || proof == EVD_REFUSING)
     {
-      evidence->dead = proof == EVD_DEATH;
+      evidence->dead = proof == EVD_DEAD;
     }
   evidence->failure_rate
       = evidence->failure_rate * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
@@ -82,13 +82,13 @@
       return false;
     }
   int64_t backoff_us = BACKOFF_FIRST_US;
-  for (uint32_t i = 0; i < evidence->strikes && backoff_us < BACKOFF_MAX_US;
+  for (uint32_t i = 0; i < evidence->backoffs && backoff_us < BACKOFF_MAX_US;
        i++)
     {
       backoff_us *= 2;
     }
-  evidence->strikes++;
+  evidence->backoffs++;
   evidence->state = EVD_BACKOFF;
-  evidence->rest_until_us = now_us + backoff_us;
+  evidence->backoff_until_us = now_us + backoff_us;
   return true;
 }
--- a/src/core/evidence.h
+++ b/src/core/evidence.h
@@ -15,34 +15,34 @@
 {
   EVD_HEALTHY, /* gets requests without limit */
   EVD_BACKOFF, /* in backoff, gets no requests */
-  EVD_PROVING  /* backoff is over, gets one request at a time */
+  EVD_PROBING  /* backoff is over, gets one request at a time */
 };
 
 /* What a failure shows about the endpoint. */
-enum evd_proof
+enum evd_failure_kind
 {
-  EVD_DOUBT,   /* inconclusive by itself */
-  EVD_REFUSAL, /* alive, but can't serve requests now */
-  EVD_UNABLE,  /* can't serve requests now; may be alive or dead */
-  EVD_DEATH    /* dead: doesn't respond to any caller */
+  EVD_INCONCLUSIVE, /* inconclusive by itself */
+  EVD_REFUSING,     /* alive, but can't serve requests now */
+  EVD_UNAVAILABLE,  /* can't serve requests now; may be alive or dead */
+  EVD_DEAD          /* dead: doesn't respond to any caller */
 };
 
 struct evd_evidence
 {
   enum evd_state state;
-  bool dead;        /* as of the last result that shows dead or alive */
-  uint32_t strikes; /* consecutive backoffs; 0 again at a low failure rate */
-  int64_t rest_until_us; /* monotonic end of the backoff */
-  double failure_rate;   /* moving average, 0 to 1 */
-  double latency_us;     /* of successes, moving average; 0: none */
-  uint32_t in_flight;    /* requests without a result yet */
+  bool dead;         /* as of the last result that shows dead or alive */
+  uint32_t backoffs; /* consecutive backoffs; 0 again at a low failure rate */
+  int64_t backoff_until_us; /* monotonic end of the backoff */
+  double failure_rate;      /* moving average, 0 to 1 */
+  double latency_us;        /* of successes, moving average; 0: none */
+  uint32_t in_flight;       /* requests without a result yet */
 };
 
 bool evd_usable (struct evd_evidence *evidence, int64_t now_us);
 void evd_begin (struct evd_evidence *evidence);
 void evd_end (struct evd_evidence *evidence);
 void evd_success (struct evd_evidence *evidence, int64_t latency_us);
-bool evd_failure (struct evd_evidence *evidence, enum evd_proof proof,
+bool evd_failure (struct evd_evidence *evidence, enum evd_failure_kind proof,
                   int64_t now_us);
 
 #endif
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -164,7 +164,7 @@
 /* Returns the kind of accelerator called NAME, which may be NULL, or NULL when
    there is none.  */
 const struct flt_kind *
-flt_find_kind (const struct flt_engine *engine, const char *name)
+flt_find_kind (const struct flt_engine_spec *engine, const char *name)
 {
   for (uint32_t i = 0; name != NULL && i < engine->kind_count; i++)
     {
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -18,12 +18,12 @@
 enum flt_repeat
 {
   FLT_REPEAT_NEVER,
-  FLT_REPEAT_FREELY,
+  FLT_REPEAT_IDEMPOTENT,
   FLT_REPEAT_STREAM /* answers are event streams: only if resumable */
 };
 
 /* A kind of accelerator.  The factors multiply the times that follow from
-   struct flt_engine; lower is faster. */
+   struct flt_engine_spec; lower is faster. */
 struct flt_kind
 {
   char *name;
@@ -34,7 +34,7 @@
 
 /* Capacity and speed of the engines of one service, and the model that they
    run together, each engine some of its layers. */
-struct flt_engine
+struct flt_engine_spec
 {
   uint32_t slots;             /* requests that an engine runs at once */
   double cache_tokens_max;    /* KV cache of one engine */
@@ -60,7 +60,7 @@
   char *health_path;
   uint32_t connections_max; /* to one endpoint, from all daemons together */
   bool has_engine;          /* `engine' is set */
-  struct flt_engine engine;
+  struct flt_engine_spec engine;
 };
 
 /* The part of a route's requests that goes to one service. */
@@ -130,7 +130,7 @@
 const struct flt_account *flt_find_account (const struct flt_config *config,
                                             const char *key);
 uint32_t flt_find_service (const struct flt_config *config, const char *name);
-const struct flt_kind *flt_find_kind (const struct flt_engine *engine,
+const struct flt_kind *flt_find_kind (const struct flt_engine_spec *engine,
                                       const char *name);
 uint32_t flt_choose_service (const struct flt_route *route, uint32_t draw);
 
--- a/src/core/flow.c
+++ b/src/core/flow.c
@@ -94,7 +94,7 @@
   return index;
 }
 
-/* Changes the capacity of EDGE.  The flows change with the next fl_maximum,
+/* Changes the capacity of EDGE.  The flows change with the next fl_max_flow,
    which starts from scratch.  */
 void
 fl_set_capacity (struct fl_network *network, uint32_t edge, double capacity)
@@ -169,7 +169,7 @@
 
 /* Computes a maximum flow from SOURCE to SINK and returns its value.  */
 double
-fl_maximum (struct fl_network *network, uint32_t source, uint32_t sink)
+fl_max_flow (struct fl_network *network, uint32_t source, uint32_t sink)
 {
   double largest = 0.0;
   for (uint32_t i = 0; i < network->edges->len; i++)
@@ -192,7 +192,7 @@
   return total;
 }
 
-/* Returns the flow over EDGE as of the last fl_maximum.  */
+/* Returns the flow over EDGE as of the last fl_max_flow.  */
 double
 fl_flow (const struct fl_network *network, uint32_t edge)
 {
@@ -200,9 +200,9 @@
 }
 
 /* Returns whether NODE is on the source's side of the minimum cut found by the
-   last fl_maximum, that is, whether more flow could reach NODE.  */
+   last fl_max_flow, that is, whether more flow could reach NODE.  */
 bool
-fl_reached (const struct fl_network *network, uint32_t node)
+fl_on_source_side (const struct fl_network *network, uint32_t node)
 {
   return network->level[node] != NONE;
 }
@@ -224,7 +224,7 @@
           fl_add_edge (network, range->first, range->end, range->tokens_per_s);
         }
     }
-  double rate = fl_maximum (network, 0, layers);
+  double rate = fl_max_flow (network, 0, layers);
   fl_destroy (network);
   return rate;
 }
--- a/src/core/flow.h
+++ b/src/core/flow.h
@@ -23,9 +23,10 @@
                       double capacity);
 void fl_set_capacity (struct fl_network *network, uint32_t edge,
                       double capacity);
-double fl_maximum (struct fl_network *network, uint32_t source, uint32_t sink);
+double fl_max_flow (struct fl_network *network, uint32_t source,
+                    uint32_t sink);
 double fl_flow (const struct fl_network *network, uint32_t edge);
-bool fl_reached (const struct fl_network *network, uint32_t node);
+bool fl_on_source_side (const struct fl_network *network, uint32_t node);
 double fl_layers_tokens_per_s (uint32_t layers, const struct fl_range *ranges,
                                uint32_t range_count);
 
--- a/src/core/freshness.c
+++ b/src/core/freshness.c
@@ -9,8 +9,8 @@
    Both times come from a clock that also advances while the process is
    suspended.  */
 bool
-frs_serves_keys (const struct frs_params *params, int64_t proved_us,
-                 int64_t now_us)
+frs_may_serve_keys (const struct frs_params *params, int64_t proved_us,
+                    int64_t now_us)
 {
   return now_us - proved_us < params->revoke_us - MARGIN_US;
 }
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -15,8 +15,8 @@
   int64_t change_us; /* a configuration is applied everywhere after this */
 };
 
-bool frs_serves_keys (const struct frs_params *params, int64_t proved_us,
-                      int64_t now_us);
+bool frs_may_serve_keys (const struct frs_params *params, int64_t proved_us,
+                         int64_t now_us);
 bool frs_may_deny (const struct frs_params *params, int64_t proved_us,
                    int64_t now_us);
 
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -99,7 +99,7 @@
 /* Sets whether this daemon wants the lease.  Has to be false while the daemon
    is stopping or not ready; a holder then releases the lease.  */
 void
-lse_set_willing (struct lse *lse, bool willing)
+lse_set_candidate (struct lse *lse, bool willing)
 {
   lse->candidate = willing;
 }
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -37,7 +37,7 @@
 void lse_destroy (struct lse *lse);
 
 void lse_set_rank (struct lse *lse, uint32_t rank);
-void lse_set_willing (struct lse *lse, bool willing);
+void lse_set_candidate (struct lse *lse, bool willing);
 void lse_log_record (struct lse *lse, uint64_t offset, int64_t time_us,
                      GBytes *bytes, int64_t now_us);
 void lse_log_position (struct lse *lse, uint64_t first, uint64_t next,
--- a/src/core/leaving.c
+++ b/src/core/leaving.c
@@ -99,7 +99,7 @@
       return outcome;
     }
   const bool was_open = is_open (host);
-  outcome.tell = mark->leaving != current->leaving;
+  outcome.notify_peers = mark->leaving != current->leaving;
   *current = *mark;
   outcome.changed = is_open (host) != was_open;
   return outcome;
@@ -121,8 +121,8 @@
    HOST.  Versions older than one already applied, here or at a peer whose mark
    arrived, are ignored.  */
 struct lv_outcome
-lv_list_says (struct lv_hosts *hosts, const char *host, uint64_t list_version,
-              bool leaving)
+lv_apply_host_list (struct lv_hosts *hosts, const char *host,
+                    uint64_t list_version, bool leaving)
 {
   return apply_versioned_report (hosts, host, LV_LIST, list_version, leaving);
 }
@@ -130,8 +130,8 @@
 /* Applies the drain flag of HOST in the configuration CONFIG_VERSION.
    Versions older than one already applied are ignored.  */
 struct lv_outcome
-lv_drain_says (struct lv_hosts *hosts, const char *host,
-               uint64_t config_version, bool draining)
+lv_apply_drain (struct lv_hosts *hosts, const char *host,
+                uint64_t config_version, bool draining)
 {
   return apply_versioned_report (hosts, host, LV_DRAIN, config_version,
                                  draining);
@@ -159,8 +159,8 @@
    older than the refusal, as reports lag.  Reports of an older incarnation
    than the newest known one are ignored.  */
 struct lv_outcome
-lv_endpoint_says (struct lv_hosts *hosts, const char *name,
-                  uint64_t incarnation, bool leaving, int64_t now_us)
+lv_apply_endpoint_report (struct lv_hosts *hosts, const char *name,
+                          uint64_t incarnation, bool leaving, int64_t now_us)
 {
   struct host *host = find_or_add (hosts, name);
   struct lv_mark mark = host->marks[LV_ENDPOINT];
@@ -192,15 +192,15 @@
    LV_REFUSAL_HOLD_US ago.  Instead, a newer mark of "leaving" replaces the
    peer's, and the outcome asks to send it to the peers.  */
 struct lv_outcome
-lv_peer_says (struct lv_hosts *hosts, const struct lv_mark *mark,
-              int64_t now_us)
+lv_apply_peer_mark (struct lv_hosts *hosts, const struct lv_mark *mark,
+                    int64_t now_us)
 {
   struct host *host = find_or_add (hosts, mark->host);
   const bool is_new = lv_mark_is_newer (mark, &host->marks[mark->cause]);
   if (mark->cause != LV_ENDPOINT || !is_new)
     {
       struct lv_outcome outcome = apply_mark (host, mark);
-      outcome.tell = false;
+      outcome.notify_peers = false;
       return outcome;
     }
   if (mark->leaving)
@@ -214,11 +214,11 @@
       override.order += 1;
       override.leaving = true;
       struct lv_outcome outcome = apply_mark (host, &override);
-      outcome.tell = true;
+      outcome.notify_peers = true;
       return outcome;
     }
   struct lv_outcome outcome = apply_mark (host, mark);
-  outcome.tell = false;
+  outcome.notify_peers = false;
   return outcome;
 }
 
--- a/src/core/leaving.h
+++ b/src/core/leaving.h
@@ -39,8 +39,8 @@
 /* Result of a report. */
 struct lv_outcome
 {
-  bool changed; /* the endpoint was opened or closed to new work */
-  bool tell;    /* MARK has to be sent to the peers */
+  bool changed;      /* the endpoint was opened or closed to new work */
+  bool notify_peers; /* MARK has to be sent to the peers */
   struct lv_mark mark;
 };
 
@@ -48,15 +48,17 @@
 
 struct lv_hosts *lv_create (void);
 void lv_destroy (struct lv_hosts *hosts);
-struct lv_outcome lv_list_says (struct lv_hosts *hosts, const char *host,
-                                uint64_t list_version, bool leaving);
-struct lv_outcome lv_drain_says (struct lv_hosts *hosts, const char *host,
-                                 uint64_t config_version, bool draining);
-struct lv_outcome lv_endpoint_says (struct lv_hosts *hosts, const char *host,
-                                    uint64_t incarnation, bool leaving,
-                                    int64_t now_us);
-struct lv_outcome lv_peer_says (struct lv_hosts *hosts,
-                                const struct lv_mark *mark, int64_t now_us);
+struct lv_outcome lv_apply_host_list (struct lv_hosts *hosts, const char *host,
+                                      uint64_t list_version, bool leaving);
+struct lv_outcome lv_apply_drain (struct lv_hosts *hosts, const char *host,
+                                  uint64_t config_version, bool draining);
+struct lv_outcome lv_apply_endpoint_report (struct lv_hosts *hosts,
+                                            const char *host,
+                                            uint64_t incarnation, bool leaving,
+                                            int64_t now_us);
+struct lv_outcome lv_apply_peer_mark (struct lv_hosts *hosts,
+                                      const struct lv_mark *mark,
+                                      int64_t now_us);
 bool lv_takes_work (const struct lv_hosts *hosts, const char *host);
 uint32_t lv_causes (const struct lv_hosts *hosts, const char *host);
 void lv_remove (struct lv_hosts *hosts, const char *host);
--- a/src/core/load.c
+++ b/src/core/load.c
@@ -9,7 +9,7 @@
 /* Mean deviations above the average step time in the silence bound. */
 #define SILENCE_DEVIATIONS 6
 
-/* Range of the silence bound, see ld_silence_bound_us. */
+/* Range of the silence bound, see ld_step_timeout_us. */
 #define SILENCE_BOUND_MIN_US (250 * CLK_MS_US)
 #define SILENCE_BOUND_MAX_US (1000 * CLK_MS_US)
 
@@ -189,7 +189,7 @@
    plus the step's expected duration.  Without observations it is
    SILENCE_BOUND_MAX_US.  */
 int64_t
-ld_silence_bound_us (const struct ld_load *load)
+ld_step_timeout_us (const struct ld_load *load)
 {
   int64_t average_us = load->step_us;
   if (average_us == 0)
--- a/src/core/load.h
+++ b/src/core/load.h
@@ -46,6 +46,6 @@
 void ld_set_reachable (struct ld_load *load, bool reachable);
 void ld_set_refusing (struct ld_load *load, bool refusing);
 enum ld_standing ld_standing (const struct ld_load *load, int64_t now_us);
-int64_t ld_silence_bound_us (const struct ld_load *load);
+int64_t ld_step_timeout_us (const struct ld_load *load);
 
 #endif
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -222,8 +222,8 @@
 
 /* Stores MARK and gossips it if it is newer than the stored one.  */
 void
-mem_tell_mark (struct mem_fleet *fleet, const struct lv_mark *mark,
-               int64_t now_us)
+mem_broadcast_mark (struct mem_fleet *fleet, const struct lv_mark *mark,
+                    int64_t now_us)
 {
   struct mbr_mark *stored = mbr_merge_mark (fleet->table, mark, now_us);
   if (stored != NULL)
@@ -452,7 +452,7 @@
 /* Returns the number of active members, alive or suspect, this daemon
    included.  */
 uint32_t
-mem_alive_count (const struct mem_fleet *fleet)
+mem_active_count (const struct mem_fleet *fleet)
 {
   return fleet->table->count;
 }
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -34,7 +34,7 @@
 {
   MEM_SEND,           /* send MESSAGE to ADDRESS */
   MEM_MEMBER_CHANGED, /* NAME at ADDRESS now has STATE and READY */
-  MEM_MARK_LEARNT,    /* a peer has sent a newer MARK */
+  MEM_MARK_RECEIVED,  /* a peer has sent a newer MARK */
   MEM_NEWER_CONFIG,   /* CONFIG_VERSION is in force at ADDRESS */
   MEM_NAME_CONFLICT   /* another process at ADDRESS uses this NAME */
 };
@@ -66,8 +66,8 @@
                           int64_t now_us);
 void mem_set_config_version (struct mem_fleet *fleet, uint64_t version,
                              int64_t now_us);
-void mem_tell_mark (struct mem_fleet *fleet, const struct lv_mark *mark,
-                    int64_t now_us);
+void mem_broadcast_mark (struct mem_fleet *fleet, const struct lv_mark *mark,
+                         int64_t now_us);
 void mem_leave (struct mem_fleet *fleet, int64_t now_us);
 void mem_receive (struct mem_fleet *fleet, const Peer__Membership *message,
                   int64_t now_us);
@@ -76,7 +76,7 @@
 bool mem_next_action (struct mem_fleet *fleet, struct mem_action *action);
 void mem_action_clear (struct mem_action *action);
 
-uint32_t mem_alive_count (const struct mem_fleet *fleet);
+uint32_t mem_active_count (const struct mem_fleet *fleet);
 uint32_t mem_ready_count (const struct mem_fleet *fleet);
 uint32_t mem_reaching_log_count (const struct mem_fleet *fleet);
 uint32_t mem_in_force_count (const struct mem_fleet *fleet, uint64_t version);
--- a/src/core/membership_receive.c
+++ b/src/core/membership_receive.c
@@ -106,7 +106,7 @@
         }
       if (known != NULL)
         {
-          mem_add_action (fleet, MEM_MARK_LEARNT)->mark = mark;
+          mem_add_action (fleet, MEM_MARK_RECEIVED)->mark = mark;
           gsp_schedule (fleet->table, &known->gossip, true, false);
           any_new = true;
         }
--- a/src/core/orders.c
+++ b/src/core/orders.c
@@ -9,7 +9,7 @@
   bool takes_work;
   int64_t reported_us; /* when the report was requested */
   int64_t refused_us;  /* when it last refused an order; 0: never */
-  GArray *held;        /* struct ord_held */
+  GArray *held;        /* struct ord_held_range */
 };
 
 /* A range of the wanted placement. */
@@ -121,14 +121,14 @@
   return NULL;
 }
 
-static const struct ord_held *
+static const struct ord_held_range *
 find_held (const struct ord *ord, const struct ord_range *range)
 {
   const struct host *host = find_host (ord, range->host);
   for (guint i = 0; host != NULL && i < host->held->len; i++)
     {
-      const struct ord_held *held
-          = &g_array_index (host->held, struct ord_held, i);
+      const struct ord_held_range *held
+          = &g_array_index (host->held, struct ord_held_range, i);
       if (same_range (&held->range, range))
         {
           return held;
@@ -167,7 +167,7 @@
         {
           continue;
         }
-      const struct ord_held *held = find_held (ord, &wanted->range);
+      const struct ord_held_range *held = find_held (ord, &wanted->range);
       if (held == NULL && wanted->was_ready)
         {
           ord->stats.lost_ranges++;
@@ -198,7 +198,7 @@
    count as replacements, and it gets no orders.  NOW_US is the time at which
    the report was requested.  */
 void
-ord_report (struct ord *ord, uint32_t host, const struct ord_held *held,
+ord_report (struct ord *ord, uint32_t host, const struct ord_held_range *held,
             uint32_t count, bool takes_work, int64_t now_us)
 {
   while (ord->hosts->len <= host)
@@ -209,7 +209,7 @@
   if (entry == NULL)
     {
       entry = g_new0 (struct host, 1);
-      entry->held = g_array_new (FALSE, FALSE, sizeof (struct ord_held));
+      entry->held = g_array_new (FALSE, FALSE, sizeof (struct ord_held_range));
       g_ptr_array_index (ord->hosts, host) = entry;
     }
   g_array_set_size (entry->held, 0);
@@ -255,7 +255,7 @@
    a new lease all pending orders are discarded, and only reports since then
    are used: the orders of the earlier holder are unknown.  */
 void
-ord_lease (struct ord *ord, bool held, uint64_t fence, int64_t now_us)
+ord_set_lease (struct ord *ord, bool held, uint64_t fence, int64_t now_us)
 {
   if (held && (!ord->lease_held || fence != ord->fence))
     {
@@ -347,7 +347,7 @@
         {
           continue;
         }
-      const struct ord_held *held = find_held (ord, other);
+      const struct ord_held_range *held = find_held (ord, other);
       if (held != NULL && held->ready
           && report_usable (ord, find_host (ord, other->host), now_us))
         {
@@ -398,7 +398,7 @@
   for (guint i = 0; i < host->held->len; i++)
     {
       const struct ord_range *range
-          = &g_array_index (host->held, struct ord_held, i).range;
+          = &g_array_index (host->held, struct ord_held_range, i).range;
       if (find_wanted (ord, range) != NULL || is_pending (ord, range, now_us))
         {
           continue;
@@ -424,8 +424,9 @@
       for (guint j = 0;
            report_usable (ord, host, now_us) && j < host->held->len; j++)
         {
-          count
-              += g_array_index (host->held, struct ord_held, j).ready ? 0 : 1;
+          count += g_array_index (host->held, struct ord_held_range, j).ready
+                       ? 0
+                       : 1;
         }
     }
   for (guint i = 0; i < ord->pending->len; i++)
@@ -467,7 +468,7 @@
 }
 
 /* Compares the wanted placement with the reports and gives the orders that are
-   due.  ord_lease () has to be called just before.  */
+   due.  ord_set_lease () has to be called just before.  */
 void
 ord_tick (struct ord *ord, int64_t now_us, struct act_list *actions)
 {
--- a/src/core/orders.h
+++ b/src/core/orders.h
@@ -35,7 +35,7 @@
 };
 
 /* A range that an engine reports. */
-struct ord_held
+struct ord_held_range
 {
   struct ord_range range;
   bool ready; /* otherwise it is loading */
@@ -57,11 +57,13 @@
 
 void ord_set_wanted (struct ord *ord, const struct ord_range *ranges,
                      uint32_t count);
-void ord_report (struct ord *ord, uint32_t host, const struct ord_held *held,
-                 uint32_t count, bool takes_work, int64_t now_us);
+void ord_report (struct ord *ord, uint32_t host,
+                 const struct ord_held_range *held, uint32_t count,
+                 bool takes_work, int64_t now_us);
 void ord_refused (struct ord *ord, const struct act_order *order,
                   int64_t now_us);
-void ord_lease (struct ord *ord, bool held, uint64_t fence, int64_t now_us);
+void ord_set_lease (struct ord *ord, bool held, uint64_t fence,
+                    int64_t now_us);
 void ord_tick (struct ord *ord, int64_t now_us, struct act_list *actions);
 struct ord_stats ord_stats (const struct ord *ord);
 
--- a/src/core/path.c
+++ b/src/core/path.c
@@ -19,7 +19,7 @@
 struct search
 {
   const struct pth_costs *costs;
-  const struct pth_card *engines;
+  const struct pth_engine *engines;
   uint32_t engine_count;
   struct step *steps;    /* sorted by layer */
   uint32_t *first_steps; /* by layer; the number of steps at the end */
@@ -35,7 +35,7 @@
 /* Returns the layers that ENGINE can run of a model with LAYERS layers; an
    empty range if the engine is not usable.  */
 static struct rst_layers
-usable_layers (const struct pth_card *engine, uint32_t layers)
+usable_layers (const struct pth_engine *engine, uint32_t layers)
 {
   struct rst_layers range
       = { engine->held.first, MIN (engine->held.end, layers) };
@@ -148,7 +148,7 @@
        i < search->first_steps[layer + 1]; i++)
     {
       struct step *step = &search->steps[i];
-      const struct pth_card *engine = &search->engines[step->engine];
+      const struct pth_engine *engine = &search->engines[step->engine];
       if (layer == 0)
         {
           step->cost_ms = 0;
@@ -172,7 +172,7 @@
 prepend_layer (struct pth_path *path, uint32_t engine, uint32_t layer)
 {
   struct pth_part *last = &path->parts[path->count > 0 ? path->count - 1 : 0];
-  if (path->count > 0 && last->card == engine)
+  if (path->count > 0 && last->engine == engine)
     {
       last->layers.first = layer;
       return true;
@@ -181,7 +181,7 @@
      too, and the parts between are dropped. */
   for (uint32_t i = 0; i < path->count; i++)
     {
-      if (path->parts[i].card == engine)
+      if (path->parts[i].engine == engine)
         {
           path->parts[i].layers.first = layer;
           path->count = i + 1;
@@ -193,7 +193,7 @@
       return false;
     }
   path->parts[path->count++] = (struct pth_part){
-    .card = engine,
+    .engine = engine,
     .layers = { .first = layer, .end = layer + 1 },
   };
   return true;
@@ -215,7 +215,7 @@
    model that COSTS describes.  Returns false, with an unusable PATH, when no
    path runs every layer or the cheapest has more than PTH_PARTS_MAX parts.  */
 bool
-pth_find (const struct pth_costs *costs, const struct pth_card *engines,
+pth_find (const struct pth_costs *costs, const struct pth_engine *engines,
           uint32_t engine_count, struct pth_path *path)
 {
   memset (path, 0, sizeof *path);
--- a/src/core/path.h
+++ b/src/core/path.h
@@ -10,7 +10,7 @@
 #define PTH_PARTS_MAX 32 /* parts of a path that the platform accepts */
 
 /* An engine as the search sees it. */
-struct pth_card
+struct pth_engine
 {
   struct rst_layers held;
   uint32_t zone; /* index of its data centre */
@@ -29,7 +29,7 @@
 /* Consecutive layers that one engine of a path runs. */
 struct pth_part
 {
-  uint32_t card; /* index of the engine */
+  uint32_t engine; /* index of the engine */
   struct rst_layers layers;
 };
 
@@ -40,7 +40,7 @@
   double token_ms; /* cost of one token on the whole path */
 };
 
-bool pth_find (const struct pth_costs *costs, const struct pth_card *engines,
+bool pth_find (const struct pth_costs *costs, const struct pth_engine *engines,
                uint32_t engine_count, struct pth_path *path);
 
 #endif
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -29,8 +29,8 @@
   /* The bottleneck: a range whose holders are all fully used. */
   uint32_t model; /* index in the configuration */
   uint32_t first;
-  uint32_t end;       /* one past the last layer */
-  uint32_t uncovered; /* ranges on fewer than 1 + `spare_hosts' hosts */
+  uint32_t end;              /* one past the last layer */
+  uint32_t under_replicated; /* ranges on fewer than 1 + `spare_hosts' hosts */
 };
 
 /* Loads and unloads that lead from one placement to another.  Loads read from
--- a/src/core/room.c
+++ b/src/core/room.c
@@ -84,7 +84,7 @@
       struct rom_path *path = &division->paths[i];
       if (division->is_growing[i])
         {
-          path->room += increment;
+          path->capacity += increment;
           division->is_growing[i] = !needs_resource (path, used_up);
         }
     }
@@ -108,7 +108,7 @@
   uint32_t used_up = 0;
   for (uint32_t i = 0; i < path_count; i++)
     {
-      paths[i].room = 0;
+      paths[i].capacity = 0;
       division.is_growing[i] = true;
     }
   count_growing (&division);
--- a/src/core/room.h
+++ b/src/core/room.h
@@ -14,7 +14,7 @@
 {
   uint32_t *resources; /* that the path needs, each listed once */
   uint32_t resource_count;
-  double room; /* result: the capacity that the path gets */
+  double capacity; /* result: the capacity that the path gets */
 };
 
 void rom_divide (const double *capacities, uint32_t capacity_count,
--- a/src/core/roster.c
+++ b/src/core/roster.c
@@ -104,7 +104,7 @@
          && strcmp (a->address, b->address) == 0
          && strcmp (a->data_centre, b->data_centre) == 0
          && g_strcmp0 (a->kind, b->kind) == 0 && a->slots == b->slots
-         && a->leaving == b->leaving && a->born_ms == b->born_ms
+         && a->leaving == b->leaving && a->started_ms == b->started_ms
          && a->busy == b->busy && a->layers.first == b->layers.first
          && a->layers.end == b->layers.end;
 }
@@ -114,7 +114,7 @@
    newer one about the endpoint was taken before.  Returns true when routing
    may change.  */
 bool
-rst_take (struct rst *roster, struct rst_endpoint *endpoint, uint64_t offset)
+rst_update (struct rst *roster, struct rst_endpoint *endpoint, uint64_t offset)
 {
   struct entry *entry = find_or_add (roster, endpoint->id);
   entry->named = true;
@@ -125,7 +125,7 @@
     }
   /* An incarnation that has started to leave never gets requests again. */
   if (entry->endpoint != NULL && entry->endpoint->leaving
-      && entry->endpoint->born_ms == endpoint->born_ms)
+      && entry->endpoint->started_ms == endpoint->started_ms)
     {
       endpoint->leaving = true;
     }
@@ -163,7 +163,7 @@
 
 /* Handles the record at OFFSET that removes the endpoint ID.  Ignores the
    record if a newer one about the endpoint was taken before.  Returns true
-   when routing changes now; rst_tick reports removals that are delayed.  */
+   when routing changes now; rst_expire reports removals that are delayed.  */
 bool
 rst_remove (struct rst *roster, const char *id, uint64_t offset,
             int64_t now_us)
@@ -212,7 +212,7 @@
 }
 
 /* Records that the list can't be read.  Until it can be, no endpoint is
-   removed by rst_tick.  */
+   removed by rst_expire.  */
 void
 rst_outage (struct rst *roster)
 {
@@ -222,7 +222,7 @@
 /* Records that the list was read.  The first read after an outage starts the
    time in which the list may name endpoints again.  */
 void
-rst_contact (struct rst *roster, int64_t now_us)
+rst_list_read (struct rst *roster, int64_t now_us)
 {
   if (roster->in_outage)
     {
@@ -234,7 +234,7 @@
 /* Removes the endpoints whose delayed removal is due.  Returns true when
    routing changes.  */
 bool
-rst_tick (struct rst *roster, int64_t now_us)
+rst_expire (struct rst *roster, int64_t now_us)
 {
   bool changed = false;
   if (roster->in_outage)
--- a/src/core/roster.h
+++ b/src/core/roster.h
@@ -26,10 +26,10 @@
   char *service;
   char *address; /* IP:PORT */
   char *data_centre;
-  char *kind;      /* of accelerator; NULL for services without engines */
-  uint32_t slots;  /* requests that it runs at once */
-  bool leaving;    /* shuts down, and gets no new requests */
-  int64_t born_ms; /* start time of this incarnation; 0: unknown */
+  char *kind;         /* of accelerator; NULL for services without engines */
+  uint32_t slots;     /* requests that it runs at once */
+  bool leaving;       /* shuts down, and gets no new requests */
+  int64_t started_ms; /* start time of this incarnation; 0: unknown */
   struct rst_layers layers; /* held */
   bool busy;                /* carries out an order to load layers */
 };
@@ -41,15 +41,15 @@
 void rst_destroy (struct rst *roster);
 void rst_endpoint_destroy (struct rst_endpoint *endpoint);
 struct rst_endpoint *rst_endpoint_copy (const struct rst_endpoint *endpoint);
-bool rst_take (struct rst *roster, struct rst_endpoint *endpoint,
-               uint64_t offset);
+bool rst_update (struct rst *roster, struct rst_endpoint *endpoint,
+                 uint64_t offset);
 bool rst_remove (struct rst *roster, const char *id, uint64_t offset,
                  int64_t now_us);
 void rst_begin_full (struct rst *roster);
 bool rst_end_full (struct rst *roster, uint64_t offset, int64_t now_us);
 void rst_outage (struct rst *roster);
-void rst_contact (struct rst *roster, int64_t now_us);
-bool rst_tick (struct rst *roster, int64_t now_us);
+void rst_list_read (struct rst *roster, int64_t now_us);
+bool rst_expire (struct rst *roster, int64_t now_us);
 GPtrArray *rst_list (struct rst *roster);
 
 #endif
--- a/src/core/stage_plan.c
+++ b/src/core/stage_plan.c
@@ -27,8 +27,8 @@
 /* A group of data centres whose engines together hold the model. */
 struct group
 {
-  const struct flt_engine *spec;
-  const struct stp_card *engines;
+  const struct flt_engine_spec *spec;
+  const struct stp_engine *engines;
   struct rst_layers *wanted; /* by engine: the plan */
   uint32_t *members;         /* indexes of engines */
   uint32_t member_count;
@@ -39,7 +39,7 @@
 /* Returns the KV cache, in MB, of one token on an engine, for each layer that
    the engine holds.  */
 static double
-token_layer_mb (const struct flt_engine *spec)
+token_layer_mb (const struct flt_engine_spec *spec)
 {
   return spec->cache_token_bytes / spec->layers / MB_BYTES;
 }
@@ -47,7 +47,7 @@
 /* Returns the size of the KV cache, in tokens, of an engine with MEMORY_MB
    that holds LAYERS layers; 0 if it holds none or has no memory left.  */
 double
-stp_cache_tokens (const struct flt_engine *spec, double memory_mb,
+stp_cache_tokens (const struct flt_engine_spec *spec, double memory_mb,
                   uint32_t layers)
 {
   if (layers == 0)
@@ -61,7 +61,7 @@
 /* Returns the number of layers that fit into MEMORY_MB together with a KV
    cache of CACHE_TOKENS tokens, at most all layers of the model.  */
 uint32_t
-stp_layers_max (const struct flt_engine *spec, double memory_mb,
+stp_layers_max (const struct flt_engine_spec *spec, double memory_mb,
                 double cache_tokens)
 {
   double layer_mb = spec->layer_mb + cache_tokens * token_layer_mb (spec);
@@ -71,7 +71,7 @@
 
 /* Returns the smallest KV cache that is planned for, in tokens.  */
 static double
-cache_tokens_min (const struct flt_engine *spec)
+cache_tokens_min (const struct flt_engine_spec *spec)
 {
   return CACHE_REQUESTS_MIN
          * (spec->usual_prompt_tokens + spec->usual_answer_tokens);
@@ -105,7 +105,7 @@
 static bool
 choose_cache (struct group *group)
 {
-  const struct flt_engine *spec = group->spec;
+  const struct flt_engine_spec *spec = group->spec;
   double cache_max
       = spec->slots * (spec->usual_prompt_tokens + spec->usual_answer_tokens);
   double cache_min = cache_tokens_min (group->spec);
@@ -454,8 +454,8 @@
    where nothing has to change.  Returns whether every layer has a holder in
    each group.  */
 bool
-stp_plan (const struct flt_engine *spec, enum stp_effort effort,
-          uint32_t zone_count, const struct stp_card *engines,
+stp_plan (const struct flt_engine_spec *spec, enum stp_effort effort,
+          uint32_t zone_count, const struct stp_engine *engines,
           uint32_t engine_count, struct rst_layers *wanted)
 {
   bool complete = true;
--- a/src/core/stage_plan.h
+++ b/src/core/stage_plan.h
@@ -11,7 +11,7 @@
 #include "core/roster.h"
 
 /* An engine as the planner sees it. */
-struct stp_card
+struct stp_engine
 {
   uint32_t zone;          /* index of its data centre */
   double memory_mb;       /* for layers and KV cache */
@@ -28,12 +28,12 @@
   STP_DIVIDE_ANEW /* all, by a new division of the layers */
 };
 
-bool stp_plan (const struct flt_engine *spec, enum stp_effort effort,
-               uint32_t zone_count, const struct stp_card *engines,
+bool stp_plan (const struct flt_engine_spec *spec, enum stp_effort effort,
+               uint32_t zone_count, const struct stp_engine *engines,
                uint32_t engine_count, struct rst_layers *wanted);
-uint32_t stp_layers_max (const struct flt_engine *spec, double memory_mb,
+uint32_t stp_layers_max (const struct flt_engine_spec *spec, double memory_mb,
                          double cache_tokens);
-double stp_cache_tokens (const struct flt_engine *spec, double memory_mb,
+double stp_cache_tokens (const struct flt_engine_spec *spec, double memory_mb,
                          uint32_t layers);
 
 #endif
--- a/src/core/stopping.c
+++ b/src/core/stopping.c
@@ -13,7 +13,7 @@
 /* Updates PEAK_US, the decaying maximum of request run times, with a request
    that ran for RUN_US.  The maximum rises at once and falls slowly.  */
 void
-spn_observe (double *peak_us, double run_us)
+spn_update_peak (double *peak_us, double run_us)
 {
   double decayed_us = *peak_us * (1 - PEAK_DECAY);
   *peak_us = run_us > decayed_us ? run_us : decayed_us;
@@ -23,7 +23,7 @@
    killed STOP_US after that start, accepts a request that is expected to run
    for EXPECTED_US.  */
 bool
-spn_takes (int64_t age_us, int64_t stop_us, int64_t expected_us)
+spn_accepts (int64_t age_us, int64_t stop_us, int64_t expected_us)
 {
   if (age_us <= SPN_ACCEPT_ALL_US)
     {
--- a/src/core/stopping.h
+++ b/src/core/stopping.h
@@ -13,7 +13,7 @@
    readiness checks, one a second, have failed. */
 #define SPN_ACCEPT_ALL_US 2800000
 
-void spn_observe (double *peak_us, double run_us);
-bool spn_takes (int64_t age_us, int64_t stop_us, int64_t expected_us);
+void spn_update_peak (double *peak_us, double run_us);
+bool spn_accepts (int64_t age_us, int64_t stop_us, int64_t expected_us);
 
 #endif
--- a/src/daemon/backend.c
+++ b/src/daemon/backend.c
@@ -37,7 +37,7 @@
   vw_read_end ();
   if (kind != ERR_NONE)
     {
-      err_fail (failure, kind, NULL);
+      err_set_failure (failure, kind, NULL);
     }
   return kind == ERR_NONE;
 }
@@ -56,12 +56,12 @@
   vw_read_end ();
   if (!known)
     {
-      err_fail (failure, ERR_NOT_FOUND, "model: no such model");
+      err_set_failure (failure, ERR_NOT_FOUND, "model: no such model");
       return false;
     }
   if (strlen (draft->prompt) > rules.prompt_bytes)
     {
-      err_fail (failure, ERR_TOO_LARGE, "the prompt is too long");
+      err_set_failure (failure, ERR_TOO_LARGE, "the prompt is too long");
       return false;
     }
   out->model = draft->model;
@@ -151,7 +151,7 @@
 /* Logs a draft that failed or took more than one attempt.  */
 static void
 log_draft (const struct dft_run_result *run, const struct cal_account *account,
-           const struct cal_terms *terms)
+           const struct cal_request_options *terms)
 {
   if (run->attempts <= 1 && run->error == ERR_NONE)
     {
@@ -160,14 +160,15 @@
   lg_line (LOG_NOTICE, "draft",
            "request=%s account=%s attempts=%u tokens=%u kind=%s path=%s",
            terms->request_id, account->name, run->attempts, run->tokens,
-           err_answer (run->error)->name, run->path->str);
+           err_info (run->error)->name, run->path->str);
 }
 
 static bool
 run_draft (void *user_data, const struct cal_account *account,
-           const struct cal_terms *terms, const struct cal_draft *draft,
-           cal_on_token on_token, void *token_data,
-           struct cal_draft_result *result, struct err_failure *failure)
+           const struct cal_request_options *terms,
+           const struct cal_draft *draft, cal_on_token on_token,
+           void *token_data, struct cal_draft_result *result,
+           struct err_failure *failure)
 {
   struct bk_backend *backend = user_data;
   struct dft_run_result run;
@@ -216,13 +217,13 @@
     /* An estimate, with BYTES_PER_POSITION of draft.c. */
     .prompt_tokens = (uint32_t)(strlen (draft->prompt) / 4),
     .tokens = run.tokens,
-    .ended = run.ended,
+    .ended_by_model = run.ended,
     .attempts = run.attempts,
     .path = g_string_free (run.path, FALSE),
   };
   if (run.error != ERR_NONE)
     {
-      err_fail (failure, run.error, NULL);
+      err_set_failure (failure, run.error, NULL);
       failure->ran = run.tokens > 0 ? ERR_RAN_YES : failure->ran;
     }
   return run.error == ERR_NONE;
@@ -230,7 +231,7 @@
 
 static bool
 call_service (void *user_data, const struct cal_account *account,
-              const struct cal_terms *terms,
+              const struct cal_request_options *terms,
               const struct cal_service_call *call,
               struct cal_service_answer *answer, struct err_failure *failure)
 {
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -199,16 +199,16 @@
   struct clm_stats claims = clm_stats (control->claims);
   struct adm_state admission;
   gt_read_state (control->params.gate, &admission);
-  cnt_put (metrics->streams, admission.streams);
-  cnt_put (metrics->queued, admission.queued);
-  cnt_put (metrics->stream_limit, admission.limit);
-  cnt_put (metrics->capacity, (int64_t)control->capacity_tokens_per_s);
-  cnt_put (metrics->config_version,
-           (int64_t)cst_current_version (control->config_state));
-  cnt_put (metrics->daemons_ready, control->ready_daemons);
-  cnt_put (metrics->ready, ctl_ready (control) ? 1 : 0);
-  cnt_put (metrics->claims_active, claims.active);
-  cnt_put (metrics->keys, claims.keys);
+  cnt_set_gauge (metrics->streams, admission.streams);
+  cnt_set_gauge (metrics->queued, admission.queued);
+  cnt_set_gauge (metrics->stream_limit, admission.limit);
+  cnt_set_gauge (metrics->capacity, (int64_t)control->capacity_tokens_per_s);
+  cnt_set_gauge (metrics->config_version,
+                 (int64_t)cst_current_version (control->config_state));
+  cnt_set_gauge (metrics->daemons_ready, control->ready_daemons);
+  cnt_set_gauge (metrics->ready, ctl_ready (control) ? 1 : 0);
+  cnt_set_gauge (metrics->claims_active, claims.active);
+  cnt_set_gauge (metrics->keys, claims.keys);
 }
 
 /* Runs every TICK_MS.  Advances claims, configuration, view and admission
--- a/src/daemon/control_config.c
+++ b/src/daemon/control_config.c
@@ -36,7 +36,7 @@
   for (uint32_t i = 0; i < config->host_count; i++)
     {
       const struct cfg_host *host = &config->hosts[i];
-      struct lv_outcome outcome = lv_drain_says (
+      struct lv_outcome outcome = lv_apply_drain (
           control->leaving_hosts, host->name, config->version, host->draining);
       ctl_apply_leaving_outcome (control, &outcome);
     }
@@ -182,7 +182,7 @@
                    parse_errors, &error);
   if (config == NULL)
     {
-      err_fail (failure, ERR_CONFIG_INVALID, parse_errors->str);
+      err_set_failure (failure, ERR_CONFIG_INVALID, parse_errors->str);
       g_string_free (parse_errors, TRUE);
       return false;
     }
@@ -204,7 +204,7 @@
   *version = wait.version;
   if (wait.kind != ERR_NONE)
     {
-      err_fail (failure, wait.kind, NULL);
+      err_set_failure (failure, wait.kind, NULL);
     }
   return wait.kind == ERR_NONE;
 }
@@ -224,7 +224,7 @@
   struct config_copy *copy = data;
   copy->yaml = g_strdup (control->config_yaml);
   copy->version = control->config != NULL ? control->config->version : 0;
-  copy->daemons = mem_alive_count (control->members);
+  copy->daemons = mem_active_count (control->members);
   copy->in_force = mem_in_force_count (control->members, copy->version);
 }
 
@@ -238,7 +238,7 @@
   ctl_call (control, copy_config, &current);
   if (current.yaml == NULL)
     {
-      err_fail (failure, ERR_NOT_READY, NULL);
+      err_set_failure (failure, ERR_NOT_READY, NULL);
       return NULL;
     }
   json_t *json = json_pack ("{s:I, s:i, s:i, s:s}", "version",
@@ -309,9 +309,9 @@
                        : NULL;
       if (yaml == NULL)
         {
-          err_fail (failure,
-                    current.yaml != NULL ? ERR_NOT_FOUND : ERR_NOT_READY,
-                    NULL);
+          err_set_failure (
+              failure, current.yaml != NULL ? ERR_NOT_FOUND : ERR_NOT_READY,
+              NULL);
         }
       else
         {
--- a/src/daemon/control_endpoints.c
+++ b/src/daemon/control_endpoints.c
@@ -25,12 +25,12 @@
 {
   struct ept_endpoint *endpoint;
   enum err_kind error;
-  struct eng_load load;
+  struct eng_load_report load;
 };
 
 /* Returns whether two load reports list the same ranges in the same order.  */
 static bool
-same_ranges (const struct eng_load *a, const struct eng_load *b)
+same_ranges (const struct eng_load_report *a, const struct eng_load_report *b)
 {
   if (a->range_count != b->range_count)
     {
@@ -64,9 +64,9 @@
     }
   ld_report (&endpoint->load, result->load.running, result->load.queued,
              result->load.leaving, now_us);
-  struct lv_outcome outcome = lv_endpoint_says (
+  struct lv_outcome outcome = lv_apply_endpoint_report (
       control->leaving_hosts, endpoint->host, 0, result->load.leaving, now_us);
-  const struct eng_load *previous
+  const struct eng_load_report *previous
       = g_hash_table_lookup (control->load_reports, endpoint);
   ctl_apply_leaving_outcome (control, &outcome);
   if (previous == NULL || !same_ranges (previous, &result->load))
@@ -81,7 +81,7 @@
 
 static void
 post_load (struct ept_endpoint *endpoint, enum err_kind error,
-           const struct eng_load *load, void *user_data)
+           const struct eng_load_report *load, void *user_data)
 {
   struct load_result *result = g_new0 (struct load_result, 1);
   *result = (struct load_result){
@@ -99,11 +99,11 @@
   for (uint32_t i = 0; i < list->host_count; i++)
     {
       const struct hl_host *host = &list->hosts[i];
-      if (host->daemon)
+      if (host->is_daemon)
         {
           continue;
         }
-      struct lv_outcome outcome = lv_list_says (
+      struct lv_outcome outcome = lv_apply_host_list (
           control->leaving_hosts, host->name, list->version, host->leaving);
       ctl_apply_leaving_outcome (control, &outcome);
     }
@@ -135,7 +135,7 @@
 get_endpoint (struct ctl_control *control, uint32_t host)
 {
   const struct cfg_host *entry = &control->config->hosts[host];
-  return ept_get (control->endpoints, entry->name, entry->address);
+  return ept_get_or_add (control->endpoints, entry->name, entry->address);
 }
 
 /* Requests a load report of ENDPOINT when its poll interval has passed.  A
@@ -211,7 +211,8 @@
 /* Copies the ranges of LOAD to ENDPOINT, except those of unknown models and
    those that don't fit the model.  */
 static void
-fill_ranges (const struct cfg_config *config, const struct eng_load *load,
+fill_ranges (const struct cfg_config *config,
+             const struct eng_load_report *load,
              struct snap_endpoint *endpoint)
 {
   for (uint32_t i = 0; i < load->range_count; i++)
@@ -242,7 +243,7 @@
   struct ept_endpoint *known = get_endpoint (control, index);
   const struct cfg_link path
       = cfg_path_between (config, own, host->data_centre);
-  const struct eng_load *load
+  const struct eng_load_report *load
       = g_hash_table_lookup (control->load_reports, known);
   *endpoint = (struct snap_endpoint){
     .host = index,
@@ -279,7 +280,7 @@
 
 /* Returns the newest load report of HOST, an index in the configuration, or
    NULL before the first.  */
-const struct eng_load *
+const struct eng_load_report *
 ctl_get_load_report (struct ctl_control *control, uint32_t host)
 {
   return g_hash_table_lookup (control->load_reports,
--- a/src/daemon/control_keyed.c
+++ b/src/daemon/control_keyed.c
@@ -67,8 +67,8 @@
 begin_send (struct ctl_control *control, void *data)
 {
   struct send_request *request = data;
-  request->allowed
-      = clm_sent (control->claims, request->call->id, clk_monotonic_us ());
+  request->allowed = clm_begin_send (control->claims, request->call->id,
+                                     clk_monotonic_us ());
 }
 
 /* Returns whether the claim still allows CALL to be sent, and if so records
@@ -195,10 +195,10 @@
     {
       return;
     }
-  json_t *json = json_pack ("{s:s, s:s, s:s, s:i, s:o}", "key", lookup->key,
-                            "kind", err_answer (info.kind)->name, "ran",
-                            err_ran_name (info.ran), "status",
-                            (int)info.status, "answer", body_to_json (&info));
+  json_t *json
+      = json_pack ("{s:s, s:s, s:s, s:i, s:o}", "key", lookup->key, "kind",
+                   err_info (info.kind)->name, "ran", err_ran_name (info.ran),
+                   "status", (int)info.status, "answer", body_to_json (&info));
   lookup->json = json_dumps (json, JSON_COMPACT);
   json_decref (json);
 }
@@ -283,7 +283,7 @@
   kc_unref (call);
   if (kind != ERR_NONE)
     {
-      err_fail (failure, kind, NULL);
+      err_set_failure (failure, kind, NULL);
     }
   return kind == ERR_NONE;
 }
--- a/src/daemon/control_log.c
+++ b/src/daemon/control_log.c
@@ -87,9 +87,9 @@
     {
       handle_position (control, event);
     }
-  else if (event->page.out)
+  else if (event->page.unavailable)
     {
-      clm_log_out (control->claims, clk_monotonic_us ());
+      clm_log_unavailable (control->claims, clk_monotonic_us ());
     }
   ctl_perform_actions (control);
   ctl_publish_view (control);
@@ -149,8 +149,8 @@
                           control->actions);
       return;
     default:
-      clm_append_lost (control->claims, event->token, now_us,
-                       control->actions);
+      clm_append_unknown (control->claims, event->token, now_us,
+                          control->actions);
       return;
     }
 }
@@ -171,8 +171,8 @@
                           control->actions);
       return;
     default:
-      cst_append_lost (control->config_state, event->token, now_us,
-                       control->actions);
+      cst_append_unknown (control->config_state, event->token, now_us,
+                          control->actions);
       return;
     }
 }
@@ -203,7 +203,7 @@
   struct append_event *event = data;
   if (event->log_unavailable)
     {
-      clm_log_out (control->claims, clk_monotonic_us ());
+      clm_log_unavailable (control->claims, clk_monotonic_us ());
     }
   switch (event->owner)
     {
--- a/src/daemon/control_orders.c
+++ b/src/daemon/control_orders.c
@@ -134,7 +134,7 @@
            "verb=%s host=%s model=%s range=%u-%u fence=%lu kind=%s",
            job->order.verb == ACT_ORDER_LOAD ? "load" : "unload",
            job->endpoint->host, job->model, job->order.first, job->order.end,
-           (unsigned long)job->order.fence, err_answer (job->result)->name);
+           (unsigned long)job->order.fence, err_info (job->result)->name);
   g_free (job);
 }
 
@@ -144,7 +144,7 @@
   struct order_job *job = data;
   (void)user_data;
   const struct eng_order order = {
-    .order = job->order.verb == ACT_ORDER_LOAD ? "load" : "unload",
+    .action = job->order.verb == ACT_ORDER_LOAD ? "load" : "unload",
     .model = job->model,
     .first = job->order.first,
     .end = job->order.end,
@@ -172,7 +172,7 @@
   *job = (struct order_job){
     .control = control,
     .order = *order,
-    .endpoint = ept_get (control->endpoints, host->name, host->address),
+    .endpoint = ept_get_or_add (control->endpoints, host->name, host->address),
   };
   g_strlcpy (job->model, control->config->models[order->model].name,
              sizeof job->model);
@@ -214,14 +214,14 @@
 static uint32_t
 append_held (const struct cfg_config *config, uint32_t host,
              const struct eng_range *ranges, uint32_t count, bool ready,
-             struct ord_held *held, uint32_t held_count)
+             struct ord_held_range *held, uint32_t held_count)
 {
   for (uint32_t i = 0; i < count; i++)
     {
       uint32_t model = ctl_find_model (config, ranges[i].model);
       if (model != CFG_NO_INDEX)
         {
-          held[held_count++] = (struct ord_held){
+          held[held_count++] = (struct ord_held_range){
             .range = { .host = host,
                        .model = model,
                        .first = ranges[i].first,
@@ -237,8 +237,8 @@
    report LOAD.  Returns their number.  */
 static uint32_t
 list_held (const struct cfg_config *config, uint32_t host,
-           const struct eng_load *load,
-           struct ord_held held[2 * SNAP_RANGES_MAX])
+           const struct eng_load_report *load,
+           struct ord_held_range held[2 * SNAP_RANGES_MAX])
 {
   uint32_t count = append_held (config, host, load->ranges, load->range_count,
                                 true, held, 0);
@@ -250,10 +250,10 @@
 void
 ctl_orders_handle_load_report (struct ctl_control *control,
                                const struct ept_endpoint *endpoint,
-                               const struct eng_load *load)
+                               const struct eng_load_report *load)
 {
   const struct cfg_config *config = control->config;
-  struct ord_held held[2 * SNAP_RANGES_MAX];
+  struct ord_held_range held[2 * SNAP_RANGES_MAX];
   for (uint32_t i = 0; config != NULL && i < config->host_count; i++)
     {
       const struct cfg_host *host = &config->hosts[i];
@@ -290,8 +290,8 @@
   struct pl_placement *current = pl_create (config->host_count);
   for (uint32_t i = 0; i < config->host_count; i++)
     {
-      struct ord_held held[2 * SNAP_RANGES_MAX];
-      const struct eng_load *load = ctl_get_load_report (control, i);
+      struct ord_held_range held[2 * SNAP_RANGES_MAX];
+      const struct eng_load_report *load = ctl_get_load_report (control, i);
       uint32_t count = load != NULL ? list_held (config, i, load, held) : 0;
       struct pl_host *host = &current->hosts[i];
       for (uint32_t j = 0; j < count && j < SNAP_RANGES_MAX; j++)
@@ -377,10 +377,10 @@
   int64_t now_us = clk_monotonic_us ();
   uint64_t fence = 0;
   lse_set_rank (state->lease, ctl_own_rank (control));
-  lse_set_willing (state->lease, ctl_ready (control));
+  lse_set_candidate (state->lease, ctl_ready (control));
   lse_tick (state->lease, now_us, control->actions);
   bool held = lse_held (state->lease, now_us, &fence);
-  ord_lease (state->orders, held, fence, now_us);
+  ord_set_lease (state->orders, held, fence, now_us);
   if (held && control->config != NULL && now_us >= state->next_order_us)
     {
       state->next_order_us = now_us + ORDER_INTERVAL_US;
--- a/src/daemon/control_orders.h
+++ b/src/daemon/control_orders.h
@@ -12,7 +12,7 @@
 void ctl_orders_stop (struct ctl_control *control);
 void ctl_orders_handle_load_report (struct ctl_control *control,
                                     const struct ept_endpoint *endpoint,
-                                    const struct eng_load *load);
+                                    const struct eng_load_report *load);
 void ctl_orders_tick (struct ctl_control *control);
 struct lse *ctl_lease (struct ctl_control *control);
 void ctl_send_order (struct ctl_control *control,
--- a/src/daemon/control_peers.c
+++ b/src/daemon/control_peers.c
@@ -86,7 +86,7 @@
 static void
 update_daemon_counts (struct ctl_control *control)
 {
-  uint32_t alive = MAX (mem_alive_count (control->members), 1);
+  uint32_t alive = MAX (mem_active_count (control->members), 1);
   uint32_t rank = ctl_own_rank (control);
   control->ready_daemons = MAX (mem_ready_count (control->members), 1);
   clm_set_share (control->claims, alive, rank);
@@ -110,7 +110,7 @@
   if (member != NULL
       && (member->state == MBR_DEAD || member->state == MBR_LEFT))
     {
-      clm_holder_gone (control->claims, member->incarnation);
+      clm_holder_dead (control->claims, member->incarnation);
     }
   update_daemon_counts (control);
 }
@@ -129,9 +129,10 @@
                outcome->mark.host,
                lv_takes_work (control->leaving_hosts, outcome->mark.host));
     }
-  if (outcome->tell)
+  if (outcome->notify_peers)
     {
-      mem_tell_mark (control->members, &outcome->mark, clk_monotonic_us ());
+      mem_broadcast_mark (control->members, &outcome->mark,
+                          clk_monotonic_us ());
     }
 }
 
@@ -139,7 +140,7 @@
 apply_peer_mark (struct ctl_control *control, const struct lv_mark *mark)
 {
   struct lv_outcome outcome
-      = lv_peer_says (control->leaving_hosts, mark, clk_monotonic_us ());
+      = lv_apply_peer_mark (control->leaving_hosts, mark, clk_monotonic_us ());
   ctl_apply_leaving_outcome (control, &outcome);
 }
 
@@ -166,7 +167,7 @@
         case MEM_MEMBER_CHANGED:
           handle_member_change (control, &action);
           break;
-        case MEM_MARK_LEARNT:
+        case MEM_MARK_RECEIVED:
           apply_peer_mark (control, &action.mark);
           break;
         case MEM_NEWER_CONFIG:
@@ -264,7 +265,7 @@
     }
   for (uint32_t i = 0; i < list->host_count; i++)
     {
-      if (list->hosts[i].daemon && !list->hosts[i].leaving)
+      if (list->hosts[i].is_daemon && !list->hosts[i].leaving)
         {
           g_ptr_array_add (addresses, g_strdup (list->hosts[i].address));
         }
@@ -293,10 +294,10 @@
   mem_set_reaches_log (control->members, reaches_log, now_us);
   mem_set_config_version (control->members,
                           cst_current_version (control->config_state), now_us);
-  clm_peers_reach_log (control->claims,
-                       mem_reaching_log_count (control->members)
-                           > (reaches_log ? 1U : 0U),
-                       now_us);
+  clm_set_peers_reach_log (control->claims,
+                           mem_reaching_log_count (control->members)
+                               > (reaches_log ? 1U : 0U),
+                           now_us);
   mem_tick (control->members, now_us);
   perform_member_actions (control);
   if (control->ready_daemons != MAX (mem_ready_count (control->members), 1))
--- a/src/daemon/control_private.h
+++ b/src/daemon/control_private.h
@@ -28,7 +28,7 @@
   struct lio_io *log_io;
   struct pol_poller *poller;
   struct ept_table *endpoints;
-  /* struct ept_endpoint to struct eng_load, the newest load report */
+  /* struct ept_endpoint to struct eng_load_report, the newest load report */
   GHashTable *load_reports;
   struct lv_hosts *leaving_hosts;
   struct clm *claims;
@@ -75,8 +75,8 @@
 void ctl_update_capacity (struct ctl_control *control);
 uint32_t ctl_find_model (const struct cfg_config *config, const char *name);
 bool ctl_host_usable (struct ctl_control *control, uint32_t host);
-const struct eng_load *ctl_get_load_report (struct ctl_control *control,
-                                            uint32_t host);
+const struct eng_load_report *ctl_get_load_report (struct ctl_control *control,
+                                                   uint32_t host);
 bool ctl_load_reports_complete (struct ctl_control *control);
 void ctl_publish_view (struct ctl_control *control);
 
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -140,7 +140,7 @@
 
 /* Returns the number of callers' requests that are in progress.  */
 int64_t
-dmn_under_way (const struct dmn_daemon *daemon)
+dmn_requests_in_progress (const struct dmn_daemon *daemon)
 {
-  return cal_server_under_way (daemon->callers);
+  return cal_server_requests_in_progress (daemon->callers);
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -15,6 +15,6 @@
 uint16_t dmn_caller_port (const struct dmn_daemon *daemon);
 uint16_t dmn_operator_port (const struct dmn_daemon *daemon);
 void dmn_begin_stop (struct dmn_daemon *daemon);
-int64_t dmn_under_way (const struct dmn_daemon *daemon);
+int64_t dmn_requests_in_progress (const struct dmn_daemon *daemon);
 
 #endif
--- a/src/daemon/draft.c
+++ b/src/daemon/draft.c
@@ -57,7 +57,7 @@
 step_timeout_us (struct run *run, const struct req_stage *stage, uint32_t step,
                  int64_t now_us)
 {
-  int64_t timeout_us = ld_silence_bound_us (stage->load);
+  int64_t timeout_us = ld_step_timeout_us (stage->load);
   if (step == 0)
     {
       uint32_t delivered = 0;
@@ -137,7 +137,7 @@
            "request=%s attempt=%u step=%u host=%s kind=%s alive=%d "
            "after_us=%ld",
            run->draft->request_id, action->attempt, action->step, stage->host,
-           err_answer (event->error)->name, event->endpoint_alive,
+           err_info (event->error)->name, event->endpoint_alive,
            (long)(now_us - sent_us));
 }
 
--- a/src/daemon/gate.c
+++ b/src/daemon/gate.c
@@ -135,7 +135,7 @@
   enum adm_decision decision = ADM_REFUSED;
   pthread_mutex_lock (&gate->lock);
   *verdict = (struct adm_verdict){ .error = ERR_OVERLOADED };
-  verdict->retry_after_s = err_answer (ERR_OVERLOADED)->retry_after_s;
+  verdict->retry_after_s = err_info (ERR_OVERLOADED)->retry_after_s;
   if (gate->inside < gate->max_inside)
     {
       gate->inside++;
@@ -153,7 +153,7 @@
   pthread_mutex_unlock (&gate->lock);
   if (decision != ADM_ADMITTED)
     {
-      err_fail (failure, verdict->error, NULL);
+      err_set_failure (failure, verdict->error, NULL);
       failure->ran = ERR_RAN_NO;
       failure->retry_after_s = verdict->retry_after_s;
     }
@@ -177,7 +177,7 @@
 gt_observe_token_interval (struct gt_gate *gate, int64_t between_tokens_us)
 {
   pthread_mutex_lock (&gate->lock);
-  adm_observe_step (gate->admission, between_tokens_us);
+  adm_observe_token_interval (gate->admission, between_tokens_us);
   pthread_mutex_unlock (&gate->lock);
 }
 
--- a/src/daemon/operator_backend.c
+++ b/src/daemon/operator_backend.c
@@ -17,8 +17,8 @@
 endpoint_to_json (struct ctl_control *control, const struct cfg_host *host)
 {
   struct ept_endpoint *endpoint
-      = ept_get (control->endpoints, host->name, host->address);
-  const struct eng_load *load
+      = ept_get_or_add (control->endpoints, host->name, host->address);
+  const struct eng_load_report *load
       = g_hash_table_lookup (control->load_reports, endpoint);
   json_t *ranges = json_array ();
   for (uint32_t i = 0; load != NULL && i < load->range_count; i++)
--- a/src/daemon/poller.c
+++ b/src/daemon/poller.c
@@ -28,8 +28,8 @@
 {
   struct ept_endpoint *endpoint = data;
   struct pol_poller *poller = user_data;
-  struct eng_load load;
-  enum err_kind error = eng_load_get (endpoint->pool, &load);
+  struct eng_load_report load;
+  enum err_kind error = eng_load_report_get (endpoint->pool, &load);
   poller->callbacks.on_load (endpoint, error, &load, poller->user_data);
 }
 
--- a/src/daemon/poller.h
+++ b/src/daemon/poller.h
@@ -15,7 +15,7 @@
 {
   /* A load poll has ended.  LOAD is valid when ERROR is ERR_NONE. */
   void (*on_load) (struct ept_endpoint *endpoint, enum err_kind error,
-                   const struct eng_load *load, void *user_data);
+                   const struct eng_load_report *load, void *user_data);
   /* A new version of the host list was read. */
   void (*on_host_list) (const struct hl_list *list, void *user_data);
 };
--- a/src/daemon/service_call.c
+++ b/src/daemon/service_call.c
@@ -125,7 +125,8 @@
    and no longer than the deadline, but 1 ms or more.  Updates the counters of
    ENDPOINT.  */
 static enum svc_result
-send_once (struct ept_endpoint *endpoint, const struct cal_terms *terms,
+send_once (struct ept_endpoint *endpoint,
+           const struct cal_request_options *terms,
            const struct cal_service_call *call, int64_t timeout_us,
            struct con_answer *answer)
 {
@@ -171,7 +172,8 @@
 /* Runs an idempotent call: sends it to one endpoint after another, until one
    answers, the deadline passes or IDEMPOTENT_ATTEMPTS_MAX have failed.  */
 static bool
-run_idempotent (const struct sc_env *env, const struct cal_terms *terms,
+run_idempotent (const struct sc_env *env,
+                const struct cal_request_options *terms,
                 const struct cal_service_call *call,
                 struct cal_service_answer *answer, struct err_failure *failure)
 {
@@ -205,7 +207,7 @@
           break;
         }
     }
-  err_fail (failure, kind, NULL);
+  err_set_failure (failure, kind, NULL);
   return false;
 }
 
@@ -230,7 +232,7 @@
 {
   if (claim->kind != ERR_NONE)
     {
-      err_fail (failure, claim->kind, NULL);
+      err_set_failure (failure, claim->kind, NULL);
       failure->ran = claim->ran;
       failure->retry_after_s = claim->retry_after_s;
       return false;
@@ -249,7 +251,7 @@
    result to the claims state machine.  */
 static void
 send_claimed (const struct sc_env *env, struct kc_call *claim,
-              const struct cal_terms *terms,
+              const struct cal_request_options *terms,
               const struct cal_service_call *call)
 {
   const struct tried_endpoints none = { .count = 0 };
@@ -285,7 +287,8 @@
    log.  */
 static bool
 run_keyed (const struct sc_env *env, const struct cal_account *account,
-           const struct cal_terms *terms, const struct cal_service_call *call,
+           const struct cal_request_options *terms,
+           const struct cal_service_call *call,
            struct cal_service_answer *answer, struct err_failure *failure)
 {
   struct kc_call *claim
@@ -310,7 +313,7 @@
   else
     {
       ctl_keyed_abandon (env->control, claim);
-      err_fail (failure, ERR_DEADLINE_EXCEEDED, NULL);
+      err_set_failure (failure, ERR_DEADLINE_EXCEEDED, NULL);
     }
   kc_unref (claim);
   return answered;
@@ -323,15 +326,16 @@
    state machine; `ran' says whether the call ran, if that is known.  */
 bool
 sc_run (const struct sc_env *env, const struct cal_account *account,
-        const struct cal_terms *terms, const struct cal_service_call *call,
-        struct cal_service_answer *answer, struct err_failure *failure)
+        const struct cal_request_options *terms,
+        const struct cal_service_call *call, struct cal_service_answer *answer,
+        struct err_failure *failure)
 {
   bool known;
   bool idempotent;
   classify_call (env, call, &known, &idempotent);
   if (!known)
     {
-      err_fail (failure, ERR_NOT_FOUND, "no such service");
+      err_set_failure (failure, ERR_NOT_FOUND, "no such service");
       return false;
     }
   if (idempotent)
@@ -340,8 +344,9 @@
     }
   if (call->key == NULL || call->key[0] == '\0')
     {
-      err_fail (failure, ERR_BAD_REQUEST,
-                "Idempotency-Key: needed for a call that may not be repeated");
+      err_set_failure (
+          failure, ERR_BAD_REQUEST,
+          "Idempotency-Key: needed for a call that may not be repeated");
       return false;
     }
   return run_keyed (env, account, terms, call, answer, failure);
@@ -358,7 +363,7 @@
   *outcome = ctl_keyed_lookup (control, account->name, key);
   if (*outcome == NULL)
     {
-      err_fail (failure, ERR_NOT_FOUND, "no such key of this account");
+      err_set_failure (failure, ERR_NOT_FOUND, "no such key of this account");
       failure->ran = ctl_keyed_refusal_ran (control, account->name, key);
       return false;
     }
--- a/src/daemon/service_call.h
+++ b/src/daemon/service_call.h
@@ -17,7 +17,7 @@
 };
 
 bool sc_run (const struct sc_env *env, const struct cal_account *account,
-             const struct cal_terms *terms,
+             const struct cal_request_options *terms,
              const struct cal_service_call *call,
              struct cal_service_answer *answer, struct err_failure *failure);
 bool sc_lookup_key (struct ctl_control *control,
--- a/src/endpoint/endpoint.c
+++ b/src/endpoint/endpoint.c
@@ -45,7 +45,7 @@
    doesn't contain it.  When a host moves to another address, a separate
    endpoint with its own counters is added.  */
 struct ept_endpoint *
-ept_get (struct ept_table *table, const char *host, const char *address)
+ept_get_or_add (struct ept_table *table, const char *host, const char *address)
 {
   g_autofree char *key = g_strdup_printf ("%s %s", host, address);
   struct ept_endpoint *endpoint = g_hash_table_lookup (table->endpoints, key);
--- a/src/endpoint/endpoint.h
+++ b/src/endpoint/endpoint.h
@@ -24,8 +24,8 @@
 
 struct ept_table *ept_table_create (void);
 void ept_table_destroy (struct ept_table *table);
-struct ept_endpoint *ept_get (struct ept_table *table, const char *host,
-                              const char *address);
+struct ept_endpoint *ept_get_or_add (struct ept_table *table, const char *host,
+                                     const char *address);
 struct ept_endpoint *ept_of_load (struct ld_load *load);
 
 #endif
--- a/src/endpoint/engine.c
+++ b/src/endpoint/engine.c
@@ -231,7 +231,7 @@
 /* Requests the engine's load report and stores it in LOAD.  Blocks for at most
    300 ms.  Errors: as con_call_run, ERR_PROTOCOL.  */
 enum err_kind
-eng_load_get (struct con_pool *pool, struct eng_load *load)
+eng_load_report_get (struct con_pool *pool, struct eng_load_report *load)
 {
   struct con_call call = {
     .method = "GET",
@@ -282,8 +282,8 @@
 {
   json_t *body = NULL;
   json_t *message
-      = json_pack ("{s:s, s:s, s:i, s:i, s:I}", "order", order->order, "model",
-                   order->model, "first", (int)order->first, "end",
+      = json_pack ("{s:s, s:s, s:i, s:i, s:I}", "order", order->action,
+                   "model", order->model, "first", (int)order->first, "end",
                    (int)order->end, "fence", (json_int_t)order->fence);
   enum err_kind error = post_json (pool, "/v1/orders", message,
                                    ORDER_TIMEOUT_US, false, &body);
--- a/src/endpoint/engine.h
+++ b/src/endpoint/engine.h
@@ -51,7 +51,7 @@
 };
 
 /* An engine's load report. */
-struct eng_load
+struct eng_load_report
 {
   int32_t running;
   int32_t queued;
@@ -67,7 +67,7 @@
 /* An order to load or unload a range. */
 struct eng_order
 {
-  const char *order; /* "load" or "unload" */
+  const char *action; /* "load" or "unload" */
   const char *model;
   uint32_t first;
   uint32_t end;
@@ -80,7 +80,8 @@
 enum err_kind eng_cancel (struct con_pool *pool, const char *request,
                           uint32_t attempt);
 bool eng_is_alive (struct con_pool *pool);
-enum err_kind eng_load_get (struct con_pool *pool, struct eng_load *load);
+enum err_kind eng_load_report_get (struct con_pool *pool,
+                                   struct eng_load_report *load);
 enum err_kind eng_order_send (struct con_pool *pool,
                               const struct eng_order *order);
 
--- a/src/entry/exchange.c
+++ b/src/entry/exchange.c
@@ -107,7 +107,7 @@
                   "Retry-After: %.2f\r\n", retry_after_s);
     }
   emt_count_answer (traffic->metrics, status);
-  nsv_answer (caller, status, headers, "", 0);
+  nsv_respond (caller, status, headers, "", 0);
 }
 
 /* Returns the delay in seconds after which a caller may retry a request that
@@ -143,20 +143,20 @@
   emt_count_answer (exchange->traffic->metrics, exchange->status);
   if (!exchange->ends_with_connection)
     {
-      nsv_answer (exchange->caller, exchange->status,
-                  exchange->answer_head->str, exchange->answer->data,
-                  exchange->answer->len);
+      nsv_respond (exchange->caller, exchange->status,
+                   exchange->answer_head->str, exchange->answer->data,
+                   exchange->answer->len);
     }
   else
     {
-      nsv_begin (exchange->caller, exchange->status,
-                 exchange->answer_head->str, false);
+      nsv_begin_response (exchange->caller, exchange->status,
+                          exchange->answer_head->str, false);
       if (exchange->answer->len > 0)
         {
-          nsv_piece (exchange->caller, exchange->answer->data,
-                     exchange->answer->len);
+          nsv_send_body (exchange->caller, exchange->answer->data,
+                         exchange->answer->len);
         }
-      nsv_end (exchange->caller);
+      nsv_end_response (exchange->caller);
     }
   exchange->caller = NULL;
   exg_finish (exchange, exchange->status, "delivered");
@@ -177,9 +177,9 @@
 attempt_end_name (enum att_end end)
 {
   static const char *const names[] = {
-    [ATT_NOT_SENT] = "not_sent",   [ATT_NOT_RUN] = "not_run",
-    [ATT_FAILED] = "failed",       [ATT_CUT_OFF] = "cut_off",
-    [ATT_SPOILED] = "spoiled",     [ATT_SILENT] = "silent",
+    [ATT_NOT_SENT] = "not_sent",      [ATT_NOT_RUN] = "not_run",
+    [ATT_FAILED] = "failed",          [ATT_CUT_OFF] = "cut_off",
+    [ATT_INVALID_ANSWER] = "spoiled", [ATT_NO_RESPONSE] = "silent",
     [ATT_TIMED_OUT] = "timed_out",
   };
   return names[end];
@@ -195,7 +195,7 @@
     case ATT_PASS_FAILURE:
       exg_deliver_buffered (exchange);
       break;
-    case ATT_BREAK_OFF:
+    case ATT_ABORT_ANSWER:
       abort_answer (exchange, attempt_end_name (end));
       break;
     case ATT_ANSWER:
@@ -219,7 +219,7 @@
     .attempts_max = exchange->route->attempts_max,
     .may_have_run = exchange->may_have_run,
     .sent = exchange->sent,
-    .left_us = exchange->deadline_us - clk_monotonic_us (),
+    .remaining_us = exchange->deadline_us - clk_monotonic_us (),
   };
 }
 
@@ -260,7 +260,7 @@
                             clk_monotonic_us ()))))
     {
       retry = false;
-      att_decide_unpaid (&request, end, &verdict);
+      att_decide_without_budget (&request, end, &verdict);
       cnt_add (exchange->traffic->metrics->retries_denied, 1);
     }
   lg_line (LOG_INFO, "attempt_ended",
@@ -375,8 +375,8 @@
       struct att_request request;
       struct att_verdict verdict;
       exg_describe_request (exchange, &request);
-      att_decide_unpaid (&request, exchange->sent == 0 ? ATT_NOT_SENT : before,
-                         &verdict);
+      att_decide_without_budget (
+          &request, exchange->sent == 0 ? ATT_NOT_SENT : before, &verdict);
       lg_line (LOG_INFO, "no_endpoint", "request=%s service=%s sent=%u",
                exchange->id, exchange->service, exchange->sent);
       end_without_retry (exchange, &verdict, before);
--- a/src/entry/exchange_answer.c
+++ b/src/entry/exchange_answer.c
@@ -31,10 +31,10 @@
 
 /* Records a failure, with its PROOF, of the engine that the endpoint named as
    failed, or else of the endpoint itself.  REASON goes into the log.  A
-   refusal of another engine counts as EVD_UNABLE, since it doesn't show
+   refusal of another engine counts as EVD_UNAVAILABLE, since it doesn't show
    whether that engine is alive.  */
 void
-exg_report_failure (struct exchange *exchange, enum evd_proof proof,
+exg_report_failure (struct exchange *exchange, enum evd_failure_kind proof,
                     const char *reason)
 {
   struct fst_fleet *fleet = exchange->traffic->fleet;
@@ -46,9 +46,9 @@
           = service == FLT_NO_INDEX
                 ? NULL
                 : fst_find_address (fleet, service, exchange->failed_address);
-      if (proof == EVD_REFUSAL && failed_endpoint != exchange->endpoint)
+      if (proof == EVD_REFUSING && failed_endpoint != exchange->endpoint)
         {
-          proof = EVD_UNABLE;
+          proof = EVD_UNAVAILABLE;
         }
     }
   if (failed_endpoint != NULL)
@@ -67,12 +67,12 @@
   struct trf_traffic *traffic = exchange->traffic;
   if (exchange->output_tokens_max > 0)
     {
-      spn_observe (&traffic->token_us,
-                   (double)latency_us / exchange->output_tokens_max);
+      spn_update_peak (&traffic->token_us,
+                       (double)latency_us / exchange->output_tokens_max);
     }
   else
     {
-      spn_observe (&traffic->call_us, (double)latency_us);
+      spn_update_peak (&traffic->call_us, (double)latency_us);
     }
   if (exchange->path == NULL)
     {
@@ -153,11 +153,13 @@
       cnt_observe_us (metrics->first_byte_time,
                       exchange->first_event_us - exchange->arrived_us);
       exchange->answer_chunked = !exchange->ends_with_connection;
-      nsv_begin (exchange->caller, exchange->status,
-                 exchange->answer_head->str, exchange->answer_chunked);
+      nsv_begin_response (exchange->caller, exchange->status,
+                          exchange->answer_head->str,
+                          exchange->answer_chunked);
     }
   cnt_add (metrics->events, events);
-  nsv_piece (exchange->caller, exchange->answer->data, exchange->answer->len);
+  nsv_send_body (exchange->caller, exchange->answer->data,
+                 exchange->answer->len);
   if (nsv_is_slow (exchange->caller))
     {
       ncl_pause (exchange->attempt);
@@ -177,7 +179,7 @@
       if (exchange->answer->len + count > ANSWER_BYTES_MAX)
         {
           ncl_cancel (exchange->attempt);
-          exg_end_attempt (exchange, ATT_SPOILED);
+          exg_end_attempt (exchange, ATT_INVALID_ANSWER);
           return;
         }
       g_byte_array_append (exchange->answer, (const guint8 *)bytes,
@@ -207,14 +209,14 @@
       || !exchange->answer_begun
       || (exchange->ends_with_connection && exchange->answer_chunked))
     {
-      exg_report_failure (exchange, EVD_DOUBT,
+      exg_report_failure (exchange, EVD_INCONCLUSIVE,
                           "the stream ended within an event");
-      exg_end_attempt (exchange, ATT_SPOILED);
+      exg_end_attempt (exchange, ATT_INVALID_ANSWER);
       return;
     }
   report_success (exchange);
   emt_count_answer (exchange->traffic->metrics, exchange->status);
-  nsv_end (exchange->caller);
+  nsv_end_response (exchange->caller);
   exchange->caller = NULL;
   exg_finish (exchange, exchange->status, "delivered");
 }
@@ -242,24 +244,24 @@
     }
   if (exchange->not_executed)
     {
-      exg_report_failure (exchange,
-                          exchange->path != NULL ? EVD_REFUSAL : EVD_DOUBT,
-                          "did not run a request");
+      exg_report_failure (
+          exchange, exchange->path != NULL ? EVD_REFUSING : EVD_INCONCLUSIVE,
+          "did not run a request");
       exg_end_attempt (exchange, ATT_NOT_RUN);
       return;
     }
-  exg_report_failure (exchange, EVD_DOUBT, "failed a request");
+  exg_report_failure (exchange, EVD_INCONCLUSIVE, "failed a request");
   exg_end_attempt (exchange, ATT_FAILED);
 }
 
 /* Returns what a cut answer proves about its endpoint.  After a silence
    another engine of the path may have caused the cut.  */
-static enum evd_proof
+static enum evd_failure_kind
 classify_cut (const struct exchange *exchange)
 {
   bool abrupt
       = clk_monotonic_us () - exchange->last_received_us < ABRUPT_CUT_US;
-  return exchange->path != NULL && abrupt ? EVD_UNABLE : EVD_DOUBT;
+  return exchange->path != NULL && abrupt ? EVD_UNAVAILABLE : EVD_INCONCLUSIVE;
 }
 
 /* Handles an attempt whose connection failed or whose answer wasn't valid.  */
@@ -272,7 +274,7 @@
   switch (failure)
     {
     case NCL_NOT_CONNECTED:
-      exg_report_failure (exchange, EVD_DEATH, "connection failed");
+      exg_report_failure (exchange, EVD_DEAD, "connection failed");
       exg_end_attempt (exchange, ATT_NOT_SENT);
       break;
     case NCL_CUT_OFF:
@@ -281,9 +283,10 @@
       exg_end_attempt (exchange, ATT_CUT_OFF);
       break;
     case NCL_MALFORMED:
-    case NCL_FOREIGN:
-      exg_report_failure (exchange, EVD_DOUBT, "sent an invalid answer");
-      exg_end_attempt (exchange, ATT_SPOILED);
+    case NCL_WRONG_RESPONSE:
+      exg_report_failure (exchange, EVD_INCONCLUSIVE,
+                          "sent an invalid answer");
+      exg_end_attempt (exchange, ATT_INVALID_ANSWER);
       break;
     }
 }
--- a/src/entry/exchange_intake.c
+++ b/src/entry/exchange_intake.c
@@ -101,7 +101,7 @@
     {
       return (struct refusal){ 0, "" };
     }
-  if (!frs_serves_keys (&traffic->freshness, proved_us, now_us))
+  if (!frs_may_serve_keys (&traffic->freshness, proved_us, now_us))
     {
       return (struct refusal){ HTTP_STATUS_SERVICE_UNAVAILABLE,
                                "keys may be out of date" };
@@ -134,9 +134,9 @@
             const struct msg_message *request)
 {
   return traffic->stopping_us == 0
-         || spn_takes (clk_monotonic_us () - traffic->stopping_us,
-                       traffic->settings->stop_us,
-                       expected_us (traffic, request));
+         || spn_accepts (clk_monotonic_us () - traffic->stopping_us,
+                         traffic->settings->stop_us,
+                         expected_us (traffic, request));
 }
 
 /* Returns the time in microseconds that REQUEST on ROUTE has from now on: the
@@ -195,7 +195,7 @@
   uv_timer_init (traffic->loop, &exchange->timer);
   exchange->timer.data = exchange;
   g_hash_table_add (traffic->exchanges, exchange);
-  nsv_bind (caller, exchange);
+  nsv_set_request_context (caller, exchange);
   cnt_add (traffic->metrics->in_progress, 1);
   return exchange;
 }
--- a/src/entry/exchange_private.h
+++ b/src/entry/exchange_private.h
@@ -74,8 +74,8 @@
                            struct att_request *request);
 void exg_start_attempt (struct exchange *exchange, enum att_end before);
 void exg_end_attempt (struct exchange *exchange, enum att_end end);
-void exg_report_failure (struct exchange *exchange, enum evd_proof proof,
-                         const char *reason);
+void exg_report_failure (struct exchange *exchange,
+                         enum evd_failure_kind proof, const char *reason);
 void exg_schedule_check (struct exchange *exchange);
 
 #endif
--- a/src/entry/exchange_watch.c
+++ b/src/entry/exchange_watch.c
@@ -124,7 +124,7 @@
 {
   ncl_cancel (exchange->attempt);
   g_clear_pointer (&exchange->failed_address, g_free);
-  exg_end_attempt (exchange, ATT_SILENT);
+  exg_end_attempt (exchange, ATT_NO_RESPONSE);
 }
 
 /* Ends EXCHANGE at its deadline.  For a silent stream, abandons the attempt if
--- a/src/entry/fleet_control.c
+++ b/src/entry/fleet_control.c
@@ -191,7 +191,7 @@
                (unsigned long)record->offset, error->message);
     }
   bool changed = endpoint != NULL
-                     ? rst_take (control->roster, endpoint, record->offset)
+                     ? rst_update (control->roster, endpoint, record->offset)
                      : rst_remove (control->roster, record->key,
                                    record->offset, clk_monotonic_us ());
   if (changed || endpoint == NULL)
@@ -214,7 +214,7 @@
 on_list_begin (void *context)
 {
   struct fct_control *control = context;
-  rst_contact (control->roster, clk_monotonic_us ());
+  rst_list_read (control->roster, clk_monotonic_us ());
   rst_begin_full (control->roster);
 }
 
@@ -233,7 +233,7 @@
 {
   struct fct_control *control = context;
   rly_set_current (control->relay, PFS_ENDPOINT_TOPIC, end, proved_us);
-  rst_contact (control->roster, clk_monotonic_us ());
+  rst_list_read (control->roster, clk_monotonic_us ());
   publish (control);
 }
 
@@ -305,7 +305,7 @@
   struct fct_control *control = timer->data;
   int64_t now_us = clk_monotonic_us ();
   ncl_expire (control->client, now_us);
-  control->view_outdated |= rst_tick (control->roster, now_us);
+  control->view_outdated |= rst_expire (control->roster, now_us);
   publish (control);
   choose_sources (control);
   plc_step (control->placer, control->view->config, control->view->endpoints,
@@ -323,8 +323,9 @@
     .topic = PFS_OPERATOR_TOPIC,
     .relays = (const char *const *)control->relays->pdata,
     .wait_ms = long_poll_ms (control, CONFIG_WAIT_SHARE),
-    .answer_timeout_max_ms = (uint32_t)((double)control->settings->config_us
-                                        * ANSWER_TIMEOUT_SHARE / CLK_MS_US),
+    .answer_timeout_max_ms
+    = (uint32_t)((double)control->settings->config_apply_max_us
+                 * ANSWER_TIMEOUT_SHARE / CLK_MS_US),
     .events = &operator_events,
     .context = control,
   };
@@ -399,7 +400,7 @@
     .idle_max_us = IDLE_MAX_US,
     .idle_margin_us = IDLE_MARGIN_US,
     .connect_timeout_us = CONNECT_TIMEOUT_US,
-    .silence_ms = SILENCE_MS,
+    .user_timeout_ms = SILENCE_MS,
     .idle_connections_max = IDLE_CONNECTIONS_MAX,
   };
   control->settings = settings;
--- a/src/entry/fleet_state.c
+++ b/src/entry/fleet_state.c
@@ -213,7 +213,7 @@
     {
       return;
     }
-  const struct flt_engine *engine
+  const struct flt_engine_spec *engine
       = &config->services[endpoint->service].engine;
   const struct flt_kind *kind = flt_find_kind (engine, entry->kind);
   if (kind != NULL && engine->layers > 0)
@@ -232,7 +232,7 @@
   struct fst_endpoint *endpoint
       = g_hash_table_lookup (fleet->endpoints, entry->id);
   if (endpoint != NULL
-      && (endpoint->born_ms != entry->born_ms
+      && (endpoint->born_ms != entry->started_ms
           || strcmp (endpoint->address, entry->address) != 0))
     {
       endpoint->listed = false;
@@ -246,7 +246,7 @@
       endpoint->references = 1;
       endpoint->id = g_strdup (entry->id);
       endpoint->address = g_strdup (entry->address);
-      endpoint->born_ms = entry->born_ms;
+      endpoint->born_ms = entry->started_ms;
       g_hash_table_insert (fleet->endpoints, endpoint->id, endpoint);
     }
   update_endpoint (fleet, entry, endpoint);
@@ -427,16 +427,17 @@
 /* Returns the time, in milliseconds, that PART takes for one layer of one
    token, raised if it failed lately.  */
 static double
-layer_cost (const struct flt_engine *engine, const struct fst_endpoint *part)
+layer_cost (const struct flt_engine_spec *engine,
+            const struct fst_endpoint *part)
 {
-  bool failed_lately = part->evidence.strikes > 0;
+  bool failed_lately = part->evidence.backoffs > 0;
   return engine->step_ms * part->step_factor / engine->layers
          * (failed_lately ? UNPROVEN_FACTOR : 1);
 }
 
 /* Returns the time, in milliseconds, that one token takes on PATH.  */
 static double
-token_cost (const struct flt_engine *engine, const struct fst_path *path)
+token_cost (const struct flt_engine_spec *engine, const struct fst_path *path)
 {
   double cost_ms = 0;
   for (uint32_t i = 0; i < path->count; i++)
@@ -467,7 +468,7 @@
 
 /* Creates a path from FOUND, a result of the search over ENGINES.  */
 static struct fst_path *
-make_path (const struct flt_engine *engine, const struct pth_path *found,
+make_path (const struct flt_engine_spec *engine, const struct pth_path *found,
            const GPtrArray *engines)
 {
   struct fst_path *path = g_new0 (struct fst_path, 1);
@@ -479,7 +480,7 @@
   for (uint32_t i = 0; i < found->count; i++)
     {
       struct fst_endpoint *part
-          = g_ptr_array_index (engines, found->parts[i].card);
+          = g_ptr_array_index (engines, found->parts[i].engine);
       path->parts[i] = fst_reference (part);
       path->layers[i] = found->parts[i].layers;
       g_string_append_printf (text, "%s%s=%u-%u", i == 0 ? "" : ",",
@@ -510,8 +511,8 @@
    already, and raises the cost of its engines for the next search.  Returns
    false when there is no path.  */
 static bool
-add_path (GPtrArray *paths, const struct flt_engine *engine,
-          const GPtrArray *engines, struct pth_card *cards)
+add_path (GPtrArray *paths, const struct flt_engine_spec *engine,
+          const GPtrArray *engines, struct pth_engine *cards)
 {
   const struct pth_costs costs = {
     .layers = engine->layers,
@@ -534,7 +535,7 @@
     }
   for (uint32_t i = 0; i < found.count; i++)
     {
-      cards[found.parts[i].card].layer_ms *= REUSE_FACTOR;
+      cards[found.parts[i].engine].layer_ms *= REUSE_FACTOR;
     }
   return true;
 }
@@ -592,7 +593,7 @@
 /* Divides the memory and slots of ENGINES, in tokens, among PATHS that share
    them.  */
 static void
-divide_capacity (const struct flt_engine *engine, const GPtrArray *paths,
+divide_capacity (const struct flt_engine_spec *engine, const GPtrArray *paths,
                  const GPtrArray *engines)
 {
   double usual_tokens
@@ -613,7 +614,7 @@
   for (guint i = 0; i < paths->len; i++)
     {
       struct fst_path *path = g_ptr_array_index (paths, i);
-      path->capacity_tokens = MAX (needs[i].room, 1);
+      path->capacity_tokens = MAX (needs[i].capacity, 1);
       g_free (needs[i].resources);
     }
   g_free (needs);
@@ -622,13 +623,13 @@
 
 /* Describes the engine ENDPOINT to the path search.  One that is in back-off
    is used as a LAST_RESORT only.  */
-static struct pth_card
-make_card (const struct flt_engine *engine, struct fst_endpoint *endpoint,
+static struct pth_engine
+make_card (const struct flt_engine_spec *engine, struct fst_endpoint *endpoint,
            bool last_resort, int64_t now_us)
 {
   bool usable = evd_usable (&endpoint->evidence, now_us)
-                || endpoint->evidence.state == EVD_PROVING;
-  return (struct pth_card){
+                || endpoint->evidence.state == EVD_PROBING;
+  return (struct pth_engine){
     .held = endpoint->layers,
     .zone = endpoint->zone,
     .usable = usable || last_resort,
@@ -642,24 +643,25 @@
 add_paths (struct fst_fleet *fleet, uint32_t index, GPtrArray *paths,
            bool last_resort, int64_t now_us)
 {
-  const struct flt_engine *engine
+  const struct flt_engine_spec *engine
       = &fleet->view->config->services[index].engine;
   GPtrArray *engines = g_ptr_array_new ();
-  GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct pth_card));
+  GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct pth_engine));
   for (guint i = 0; i < fleet->ordered->len; i++)
     {
       struct fst_endpoint *endpoint = g_ptr_array_index (fleet->ordered, i);
       if (endpoint->service == index && endpoint->listed)
         {
-          struct pth_card card
+          struct pth_engine card
               = make_card (engine, endpoint, last_resort, now_us);
           g_array_append_val (cards, card);
           g_ptr_array_add (engines, endpoint);
         }
     }
   uint32_t searches = PATHS_PER_ZONE * fleet->zones->len;
-  while (searches > 0
-         && add_path (paths, engine, engines, (struct pth_card *)cards->data))
+  while (
+      searches > 0
+      && add_path (paths, engine, engines, (struct pth_engine *)cards->data))
     {
       searches--;
     }
@@ -809,7 +811,8 @@
    Paths are computed again if the endpoint goes into back-off.  */
 void
 fst_report_failure (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
-                    enum evd_proof proof, const char *reason, int64_t now_us)
+                    enum evd_failure_kind proof, const char *reason,
+                    int64_t now_us)
 {
   bool was_dead = endpoint->evidence.dead;
   bool in_back_off = evd_failure (&endpoint->evidence, proof, now_us);
@@ -820,8 +823,9 @@
     }
   lg_line (LOG_NOTICE, "endpoint_rests",
            "endpoint=%s address=%s reason=\"%s\" strikes=%u rest_ms=%ld",
-           endpoint->id, endpoint->address, reason, endpoint->evidence.strikes,
-           (long)((endpoint->evidence.rest_until_us - now_us) / CLK_MS_US));
+           endpoint->id, endpoint->address, reason,
+           endpoint->evidence.backoffs,
+           (long)((endpoint->evidence.backoff_until_us - now_us) / CLK_MS_US));
   if (fst_config (fleet) != NULL && endpoint->service != FLT_NO_INDEX
       && endpoint->service < fst_config (fleet)->service_count)
     {
--- a/src/entry/fleet_state.h
+++ b/src/entry/fleet_state.h
@@ -68,8 +68,9 @@
 struct fst_endpoint *fst_find_address (struct fst_fleet *fleet,
                                        uint32_t service, const char *address);
 void fst_report_failure (struct fst_fleet *fleet,
-                         struct fst_endpoint *endpoint, enum evd_proof proof,
-                         const char *reason, int64_t now_us);
+                         struct fst_endpoint *endpoint,
+                         enum evd_failure_kind proof, const char *reason,
+                         int64_t now_us);
 void fst_report_success (struct fst_fleet *fleet,
                          struct fst_endpoint *endpoint, int64_t latency_us);
 
--- a/src/entry/inquiry.c
+++ b/src/entry/inquiry.c
@@ -60,7 +60,7 @@
           = fst_find_address (traffic->fleet, engine->service, stall->address);
       if (stalled != NULL)
         {
-          fst_report_failure (traffic->fleet, stalled, EVD_DEATH,
+          fst_report_failure (traffic->fleet, stalled, EVD_DEAD,
                               "does not answer another engine",
                               clk_monotonic_us ());
         }
@@ -98,7 +98,7 @@
     }
   else if (status == 0)
     {
-      fst_report_failure (traffic->fleet, inquiry->engine, EVD_DEATH,
+      fst_report_failure (traffic->fleet, inquiry->engine, EVD_DEAD,
                           "did not answer a report request",
                           clk_monotonic_us ());
     }
--- a/src/entry/placing.c
+++ b/src/entry/placing.c
@@ -168,7 +168,7 @@
 is_finished (const struct order *order, const struct rst_endpoint *endpoint,
              int64_t now_us)
 {
-  if (order->born_ms != endpoint->born_ms)
+  if (order->born_ms != endpoint->started_ms)
     {
       return true;
     }
@@ -249,15 +249,16 @@
 
 /* Describes the engine ENDPOINT to the planner.  Layers that were ordered
    count as held.  */
-static struct stp_card
-describe_engine (struct plc_placer *placer, const struct flt_engine *engine,
+static struct stp_engine
+describe_engine (struct plc_placer *placer,
+                 const struct flt_engine_spec *engine,
                  const struct rst_endpoint *endpoint, GPtrArray *zones,
                  int64_t now_us)
 {
   const struct flt_kind *kind = flt_find_kind (engine, endpoint->kind);
   const struct order *order
       = g_hash_table_lookup (placer->orders, endpoint->id);
-  return (struct stp_card){
+  return (struct stp_engine){
     .zone = zone_index (zones, endpoint->data_centre),
     .memory_mb = kind == NULL ? 0 : kind->memory_mb,
     .step_factor = kind == NULL ? 1 : kind->step_factor,
@@ -276,7 +277,7 @@
   order->placer = placer;
   order->id = g_strdup (endpoint->id);
   order->address = g_strdup (endpoint->address);
-  order->born_ms = endpoint->born_ms;
+  order->born_ms = endpoint->started_ms;
   order->layers = *layers;
   g_hash_table_insert (placer->orders, order->id, order);
   send_order (order, fence);
@@ -349,7 +350,7 @@
         }
       g_ptr_array_add (listed, endpoint);
       if (!vdt_is_dead (placer->params.verdicts, endpoint->id,
-                        endpoint->born_ms))
+                        endpoint->started_ms))
         {
           g_ptr_array_add (alive, endpoint);
         }
@@ -385,10 +386,10 @@
 {
   GPtrArray *zones = g_ptr_array_new ();
   GPtrArray *engines = find_engines (placer, service, endpoints);
-  GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct stp_card));
+  GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct stp_engine));
   for (guint i = 0; i < engines->len; i++)
     {
-      struct stp_card card
+      struct stp_engine card
           = describe_engine (placer, &service->engine,
                              g_ptr_array_index (engines, i), zones, now_us);
       g_array_append_val (cards, card);
@@ -400,13 +401,14 @@
                       || now_us - placer->gap_since_us < GAP_WAIT_US;
       bool complete = stp_plan (
           &service->engine, may_wait ? STP_SPARES : STP_DIVIDE_ANEW,
-          zones->len, (const struct stp_card *)cards->data, cards->len,
+          zones->len, (const struct stp_engine *)cards->data, cards->len,
           wanted);
       update_gap (placer, complete, may_wait, now_us);
     }
   for (guint i = 0; i < engines->len; i++)
     {
-      const struct stp_card *card = &g_array_index (cards, struct stp_card, i);
+      const struct stp_engine *card
+          = &g_array_index (cards, struct stp_engine, i);
       if (card->movable
           && (wanted[i].first != card->held.first
               || wanted[i].end != card->held.end))
--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -115,7 +115,7 @@
 {
   if (from < mirror->floor)
     {
-      nsv_answer (connection, HTTP_STATUS_GONE, "", "", 0);
+      nsv_respond (connection, HTTP_STATUS_GONE, "", "", 0);
       return;
     }
   GArray *records = g_array_new (FALSE, FALSE, sizeof (RelayRecord));
@@ -156,7 +156,7 @@
   size_t bytes = relay_page__get_packed_size (&page);
   uint8_t *body = g_malloc (bytes + 1);
   relay_page__pack (&page, body);
-  nsv_answer (connection, HTTP_STATUS_OK, "", body, bytes);
+  nsv_respond (connection, HTTP_STATUS_OK, "", body, bytes);
   g_free (body);
   g_free (pointers);
   g_array_free (records, TRUE);
@@ -208,7 +208,7 @@
   reader->timer.data = reader;
   uv_timer_start (&reader->timer, on_wait_expired, wait_ms, 0);
   g_ptr_array_add (mirror->readers, reader);
-  nsv_bind (connection, reader);
+  nsv_set_request_context (connection, reader);
 }
 
 /* Handles a request of another daemon: answers 503 without a recent proof, at
@@ -223,7 +223,7 @@
   const char *url = request->url->str;
   if (!g_str_has_prefix (url, RELAY_PATH))
     {
-      nsv_answer (connection, HTTP_STATUS_NOT_FOUND, "", "", 0);
+      nsv_respond (connection, HTTP_STATUS_NOT_FOUND, "", "", 0);
       return;
     }
   size_t name_bytes = strcspn (url + strlen (RELAY_PATH), "&");
@@ -235,7 +235,7 @@
   if (mirror == NULL || mirror->proved_us == 0
       || now_us - mirror->proved_us > PROOF_AGE_MAX_US)
     {
-      nsv_answer (connection, HTTP_STATUS_SERVICE_UNAVAILABLE, "", "", 0);
+      nsv_respond (connection, HTTP_STATUS_SERVICE_UNAVAILABLE, "", "", 0);
     }
   else if (from < mirror->floor
            || (g_hash_table_size (mirror->changes) > 0
@@ -264,7 +264,7 @@
 
 static const struct nsv_events events = {
   .request = on_request,
-  .gone = on_reader_gone,
+  .disconnected = on_reader_gone,
   .drained = ignore_drained,
 };
 
@@ -286,7 +286,7 @@
     .header_timeout_us = HEADER_TIMEOUT_US,
     .idle_timeout_us = IDLE_TIMEOUT_US,
     .unsent_bytes_max = UNSENT_BYTES_MAX,
-    .silence_ms = SILENCE_MS,
+    .user_timeout_ms = SILENCE_MS,
     .connections_max = CONNECTIONS_MAX,
   };
   struct rly_relay *relay = g_new0 (struct rly_relay, 1);
--- a/src/entry/traffic.c
+++ b/src/entry/traffic.c
@@ -57,7 +57,7 @@
 
 static const struct nsv_events caller_events = {
   .request = on_caller_request,
-  .gone = exg_caller_disconnected,
+  .disconnected = exg_caller_disconnected,
   .drained = exg_caller_drained,
 };
 
@@ -67,10 +67,10 @@
 {
   (void)request;
   (void)method;
-  nsv_answer (connection,
-              is_ready (context) ? HTTP_STATUS_OK
-                                 : HTTP_STATUS_SERVICE_UNAVAILABLE,
-              "", "", 0);
+  nsv_respond (connection,
+               is_ready (context) ? HTTP_STATUS_OK
+                                  : HTTP_STATUS_SERVICE_UNAVAILABLE,
+               "", "", 0);
 }
 
 static void
@@ -81,7 +81,7 @@
 
 static const struct nsv_events probe_events = {
   .request = on_probe_request,
-  .gone = ignore_event,
+  .disconnected = ignore_event,
   .drained = ignore_event,
 };
 
@@ -91,13 +91,14 @@
 {
   const struct flt_config *config = fst_config (traffic->fleet);
   struct emt_metrics *metrics = traffic->metrics;
-  cnt_put (metrics->config_version,
-           config == NULL ? 0 : (int64_t)config->version);
-  cnt_put (metrics->connections_opened,
-           (int64_t)ncl_counts (traffic->client)->connections);
-  cnt_put (metrics->log_dropped, (int64_t)lg_dropped ());
-  cnt_put (metrics->proof_age_ms,
-           (clk_monotonic_us () - fvw_proved_us (traffic->views)) / CLK_MS_US);
+  cnt_set_gauge (metrics->config_version,
+                 config == NULL ? 0 : (int64_t)config->version);
+  cnt_set_gauge (metrics->connections_opened,
+                 (int64_t)ncl_counts (traffic->client)->connections);
+  cnt_set_gauge (metrics->log_dropped, (int64_t)lg_dropped ());
+  cnt_set_gauge (metrics->proof_age_ms,
+                 (clk_monotonic_us () - fvw_proved_us (traffic->views))
+                     / CLK_MS_US);
 }
 
 static void
@@ -110,15 +111,15 @@
   update_gauges (traffic);
   GString *text = g_string_new (NULL);
   cnt_render (traffic->series, text);
-  nsv_answer (connection, HTTP_STATUS_OK,
-              "Content-Type: text/plain; version=0.0.4\r\n", text->str,
-              text->len);
+  nsv_respond (connection, HTTP_STATUS_OK,
+               "Content-Type: text/plain; version=0.0.4\r\n", text->str,
+               text->len);
   g_string_free (text, TRUE);
 }
 
 static const struct nsv_events metrics_events = {
   .request = on_metrics_request,
-  .gone = ignore_event,
+  .disconnected = ignore_event,
   .drained = ignore_event,
 };
 
@@ -134,7 +135,7 @@
     .header_timeout_us = HEADER_TIMEOUT_US,
     .idle_timeout_us = IDLE_TIMEOUT_US,
     .unsent_bytes_max = UNSENT_BYTES_MAX,
-    .silence_ms = CALLER_SILENCE_MS,
+    .user_timeout_ms = CALLER_SILENCE_MS,
     .connections_max = traffic->settings->descriptors / DESCRIPTORS_PER_CALLER,
   };
   if (config != NULL)
@@ -161,7 +162,7 @@
       fst_set_view (traffic->fleet, view);
       struct nsv_limits limits = caller_limits (traffic, view->config);
       nsv_set_limits (traffic->caller_server, &limits);
-      cnt_put (traffic->metrics->endpoints, view->endpoints->len);
+      cnt_set_gauge (traffic->metrics->endpoints, view->endpoints->len);
     }
   return proved_us;
 }
@@ -245,7 +246,7 @@
     .idle_max_us = IDLE_MAX_US,
     .idle_margin_us = IDLE_MARGIN_US,
     .connect_timeout_us = CONNECT_TIMEOUT_US,
-    .silence_ms = SILENCE_MS,
+    .user_timeout_ms = SILENCE_MS,
     .idle_connections_max = IDLE_CONNECTIONS_MAX,
   };
   const struct rbg_params budget = {
@@ -259,7 +260,7 @@
   traffic->views = views;
   traffic->freshness = (struct frs_params){
     .revoke_us = settings->revoke_us,
-    .change_us = settings->config_us,
+    .change_us = settings->config_apply_max_us,
   };
   traffic->exchanges = g_hash_table_new (NULL, NULL);
   traffic->inquiries = inq_table_create ();
@@ -295,8 +296,8 @@
 trf_stop (struct trf_traffic *traffic)
 {
   traffic->stopping_us = clk_monotonic_us ();
-  nsv_stop_keeping (traffic->caller_server,
-                    traffic->stopping_us + STOP_IDLE_US);
+  nsv_disable_keep_alive (traffic->caller_server,
+                          traffic->stopping_us + STOP_IDLE_US);
   log_readiness (traffic);
 }
 
@@ -304,7 +305,7 @@
 bool
 trf_is_idle (const struct trf_traffic *traffic)
 {
-  return nsv_busy (traffic->caller_server) == 0;
+  return nsv_request_count (traffic->caller_server) == 0;
 }
 
 /* Logs the number of requests in progress and of open connections.  */
@@ -312,8 +313,8 @@
 trf_log_in_progress (const struct trf_traffic *traffic)
 {
   lg_line (LOG_NOTICE, "stopping", "under_way=%u connections=%u",
-           nsv_busy (traffic->caller_server),
-           nsv_open (traffic->caller_server));
+           nsv_request_count (traffic->caller_server),
+           nsv_connection_count (traffic->caller_server));
 }
 
 /* Closes the servers and connections of TRAFFIC and frees what it refers to;
--- a/src/net/call.c
+++ b/src/net/call.c
@@ -76,7 +76,7 @@
     [NCL_CUT_OFF]
     = "the connection was closed or reset before the response was complete",
     [NCL_MALFORMED] = "the response is not valid HTTP",
-    [NCL_FOREIGN] = "the response belongs to another request",
+    [NCL_WRONG_RESPONSE] = "the response belongs to another request",
   };
   finish (context, 0, reasons[failure]);
 }
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -258,7 +258,7 @@
                                        bytes, count);
   if (connection->foreign)
     {
-      fail (connection, NCL_FOREIGN);
+      fail (connection, NCL_WRONG_RESPONSE);
     }
   else if (!connection->in_use)
     {
@@ -384,7 +384,7 @@
   uv_os_fd_t descriptor;
   if (uv_fileno ((uv_handle_t *)&connection->tcp, &descriptor) == 0)
     {
-      unsigned timeout_ms = connection->client->params.silence_ms;
+      unsigned timeout_ms = connection->client->params.user_timeout_ms;
       setsockopt (descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
                   sizeof timeout_ms);
     }
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -14,7 +14,7 @@
   NCL_NOT_CONNECTED, /* no byte of the request was sent */
   NCL_CUT_OFF,       /* closed or reset before the end of the response */
   NCL_MALFORMED,     /* the response is not valid HTTP */
-  NCL_FOREIGN        /* the response belongs to another request */
+  NCL_WRONG_RESPONSE /* the response belongs to another request */
 };
 
 struct ncl_exchange;
@@ -24,7 +24,7 @@
 struct ncl_events
 {
   /* The status and headers have arrived.  Returning false fails the exchange
-     with NCL_FOREIGN. */
+     with NCL_WRONG_RESPONSE. */
   bool (*headers) (void *context, uint32_t status,
                    const struct msg_message *response);
   /* COUNT bytes of the body have arrived.  They are not kept. */
@@ -40,7 +40,7 @@
      the client closes first. */
   int64_t idle_margin_us;
   int64_t connect_timeout_us;
-  uint32_t silence_ms; /* TCP_USER_TIMEOUT: sent bytes not acknowledged */
+  uint32_t user_timeout_ms; /* TCP_USER_TIMEOUT: sent bytes not acknowledged */
   uint32_t idle_connections_max; /* for each address */
 };
 
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -117,7 +117,7 @@
     }
   if (notify && request_context != NULL)
     {
-      connection->server->events->gone (request_context);
+      connection->server->events->disconnected (request_context);
     }
 }
 
@@ -333,7 +333,7 @@
   connection->server->request_count++;
   enter_phase (connection, PHASE_RESPONDING);
   connection->keep_alive = false;
-  nsv_answer (connection, status, "", "", 0);
+  nsv_respond (connection, status, "", "", 0);
 }
 
 /* Passes the complete request of CONNECTION to the owner.  */
@@ -445,7 +445,7 @@
   uv_os_fd_t descriptor;
   if (uv_fileno ((uv_handle_t *)&connection->tcp, &descriptor) == 0)
     {
-      unsigned timeout_ms = server->limits.silence_ms;
+      unsigned timeout_ms = server->limits.user_timeout_ms;
       setsockopt (descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
                   sizeof timeout_ms);
     }
@@ -528,7 +528,7 @@
    after its next response, and idle ones once IDLE_UNTIL_US, monotonic time,
    is reached.  */
 void
-nsv_stop_keeping (struct nsv_server *server, int64_t idle_until_us)
+nsv_disable_keep_alive (struct nsv_server *server, int64_t idle_until_us)
 {
   server->stopping = true;
   server->idle_until_us = idle_until_us;
@@ -581,21 +581,22 @@
 
 /* Returns the number of open connections.  */
 uint32_t
-nsv_open (const struct nsv_server *server)
+nsv_connection_count (const struct nsv_server *server)
 {
   return server->connections->len;
 }
 
 /* Returns the number of requests without a complete response.  */
 uint32_t
-nsv_busy (const struct nsv_server *server)
+nsv_request_count (const struct nsv_server *server)
 {
   return server->request_count;
 }
 
 /* Sets the context of `gone' and `drained' for the current request.  */
 void
-nsv_bind (struct nsv_connection *connection, void *request_context)
+nsv_set_request_context (struct nsv_connection *connection,
+                         void *request_context)
 {
   connection->request_context = request_context;
 }
@@ -616,8 +617,8 @@
 /* Sends the complete response to the current request: STATUS, HEADERS, each of
    which ends with CRLF, and the body.  */
 void
-nsv_answer (struct nsv_connection *connection, uint32_t status,
-            const char *headers, const void *body, size_t body_bytes)
+nsv_respond (struct nsv_connection *connection, uint32_t status,
+             const char *headers, const void *body, size_t body_bytes)
 {
   GString *head = g_string_sized_new (512);
   append_head (connection, head, status, headers);
@@ -635,12 +636,12 @@
   finish_response (connection);
 }
 
-/* Begins a response whose body is sent with nsv_piece.  Unless CHUNKED, only
-   the end of the connection ends the body, so that the caller can't tell
+/* Begins a response whose body is sent with nsv_send_body.  Unless CHUNKED,
+   only the end of the connection ends the body, so that the caller can't tell
    whether the response is complete.  */
 void
-nsv_begin (struct nsv_connection *connection, uint32_t status,
-           const char *headers, bool chunked)
+nsv_begin_response (struct nsv_connection *connection, uint32_t status,
+                    const char *headers, bool chunked)
 {
   GString *head = g_string_sized_new (512);
   connection->chunked = chunked;
@@ -656,7 +657,8 @@
 /* Sends COUNT bytes of the body of a response that was begun.  COUNT must not
    be 0, which would end a chunked body.  */
 void
-nsv_piece (struct nsv_connection *connection, const void *bytes, size_t count)
+nsv_send_body (struct nsv_connection *connection, const void *bytes,
+               size_t count)
 {
   char size[24];
   int size_bytes = g_snprintf (size, sizeof size, "%zx\r\n", count);
@@ -678,7 +680,7 @@
 
 /* Ends a response that was begun, as complete.  */
 void
-nsv_end (struct nsv_connection *connection)
+nsv_end_response (struct nsv_connection *connection)
 {
   static char last[] = "0\r\n\r\n";
   uv_buf_t buffer = uv_buf_init (last, sizeof last - 1);
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -16,14 +16,15 @@
 {
   /* A complete request has arrived.  REQUEST is valid until the response is
      complete; its `url' holds the path and the query.  The owner must respond
-     with nsv_answer, or with nsv_begin and then nsv_end or nsv_abort. */
+     with nsv_respond, or with nsv_begin_response and then nsv_end_response or
+     nsv_abort. */
   void (*request) (void *context, struct nsv_connection *connection,
                    const struct msg_message *request, const char *method);
   /* The connection was closed before the response was complete.  Called with
-     the context of nsv_bind, and only if that was called. */
-  void (*gone) (void *request_context);
+     the context of nsv_set_request_context, and only if that was called. */
+  void (*disconnected) (void *request_context);
   /* The socket has accepted all pending bytes, after nsv_is_slow returned
-     true.  Called with the context of nsv_bind. */
+     true.  Called with the context of nsv_set_request_context. */
   void (*drained) (void *request_context);
 };
 
@@ -34,7 +35,7 @@
   int64_t header_timeout_us; /* to receive the headers of a request */
   int64_t idle_timeout_us;   /* between requests, and to receive a body */
   uint32_t unsent_bytes_max; /* of one connection; above it is slow */
-  uint32_t silence_ms;      /* TCP_USER_TIMEOUT: sent bytes not acknowledged */
+  uint32_t user_timeout_ms; /* TCP_USER_TIMEOUT: sent bytes not acknowledged */
   uint32_t connections_max; /* further ones are reset */
 };
 
@@ -45,19 +46,20 @@
 void nsv_destroy (struct nsv_server *server);
 void nsv_set_limits (struct nsv_server *server,
                      const struct nsv_limits *limits);
-void nsv_stop_keeping (struct nsv_server *server, int64_t idle_until_us);
+void nsv_disable_keep_alive (struct nsv_server *server, int64_t idle_until_us);
 void nsv_expire (struct nsv_server *server, int64_t now_us);
-uint32_t nsv_open (const struct nsv_server *server);
-uint32_t nsv_busy (const struct nsv_server *server);
+uint32_t nsv_connection_count (const struct nsv_server *server);
+uint32_t nsv_request_count (const struct nsv_server *server);
 
-void nsv_bind (struct nsv_connection *connection, void *request_context);
-void nsv_answer (struct nsv_connection *connection, uint32_t status,
-                 const char *headers, const void *body, size_t body_bytes);
-void nsv_begin (struct nsv_connection *connection, uint32_t status,
-                const char *headers, bool chunked);
-void nsv_piece (struct nsv_connection *connection, const void *bytes,
-                size_t count);
-void nsv_end (struct nsv_connection *connection);
+void nsv_set_request_context (struct nsv_connection *connection,
+                              void *request_context);
+void nsv_respond (struct nsv_connection *connection, uint32_t status,
+                  const char *headers, const void *body, size_t body_bytes);
+void nsv_begin_response (struct nsv_connection *connection, uint32_t status,
+                         const char *headers, bool chunked);
+void nsv_send_body (struct nsv_connection *connection, const void *bytes,
+                    size_t count);
+void nsv_end_response (struct nsv_connection *connection);
 void nsv_abort (struct nsv_connection *connection);
 bool nsv_is_slow (const struct nsv_connection *connection);
 
--- a/src/operator/operator.c
+++ b/src/operator/operator.c
@@ -101,7 +101,8 @@
   if (!json_is_object (json))
     {
       json_decref (json);
-      err_fail (failure, ERR_BAD_REQUEST, "the body is not a JSON object");
+      err_set_failure (failure, ERR_BAD_REQUEST,
+                       "the body is not a JSON object");
       return NULL;
     }
   return json;
@@ -122,7 +123,8 @@
   bool accepted = false;
   if (host == NULL)
     {
-      err_fail (failure, ERR_BAD_REQUEST, "host: a name of a host is needed");
+      err_set_failure (failure, ERR_BAD_REQUEST,
+                       "host: a name of a host is needed");
     }
   else
     {
@@ -166,8 +168,8 @@
   bool accepted = false;
   if (settle.account == NULL || settle.key == NULL || !json_is_boolean (ran))
     {
-      err_fail (failure, ERR_BAD_REQUEST,
-                "account, key and ran (true or false) are needed");
+      err_set_failure (failure, ERR_BAD_REQUEST,
+                       "account, key and ran (true or false) are needed");
     }
   else
     {
@@ -238,7 +240,7 @@
   struct err_failure failure;
   if (!is_authorized (server, connection))
     {
-      err_fail (&failure, ERR_UNAUTHORIZED, NULL);
+      err_set_failure (&failure, ERR_UNAUTHORIZED, NULL);
       http_send_failure (connection, &failure);
       return 1;
     }
@@ -251,7 +253,7 @@
           return 1;
         }
     }
-  err_fail (&failure, ERR_NOT_FOUND, NULL);
+  err_set_failure (&failure, ERR_NOT_FOUND, NULL);
   http_send_failure (connection, &failure);
   return 1;
 }
--- a/src/platform/host_list.c
+++ b/src/platform/host_list.c
@@ -47,7 +47,7 @@
     copy_string (item, "name", host->name, sizeof host->name);
     copy_string (item, "address", host->address, sizeof host->address);
     host->leaving = has_value (item, "state", "leaving");
-    host->daemon = has_value (item, "role", "daemon");
+    host->is_daemon = has_value (item, "role", "daemon");
   }
   return ERR_NONE;
 }
--- a/src/platform/host_list.h
+++ b/src/platform/host_list.h
@@ -10,8 +10,8 @@
 {
   char name[CFG_NAME_BYTES];
   char address[CFG_ADDRESS_BYTES];
-  bool leaving; /* the platform announced the host's removal */
-  bool daemon;  /* runs one of this router's daemons, not an engine */
+  bool leaving;   /* the platform announced the host's removal */
+  bool is_daemon; /* runs one of this router's daemons, not an engine */
 };
 
 struct hl_list
--- a/src/platform/log_client.c
+++ b/src/platform/log_client.c
@@ -186,7 +186,8 @@
   };
   memset (page, 0, sizeof *page);
   enum err_kind error = con_call_run (current_pool (client), &call, &response);
-  page->out = error == ERR_NONE && response.status == STATUS_UNAVAILABLE;
+  page->unavailable
+      = error == ERR_NONE && response.status == STATUS_UNAVAILABLE;
   if (error != ERR_NONE || response.status != 200)
     {
       select_next_address (client);
--- a/src/platform/log_client.h
+++ b/src/platform/log_client.h
@@ -22,7 +22,7 @@
   uint64_t next;  /* offset of the next record to be appended */
   struct plog_record *records;
   size_t record_count;
-  bool out; /* the log responded that it is unavailable (503) */
+  bool unavailable; /* the log responded that it is unavailable (503) */
 };
 
 struct plog_client *plog_create (char *const *urls);
--- a/standin/engine_http.c
+++ b/standin/engine_http.c
@@ -86,7 +86,7 @@
 static void
 answer_error (struct hs_answer *answer, enum err_kind kind)
 {
-  const struct err_answer *entry = err_answer (kind);
+  const struct err_info *entry = err_info (kind);
   hs_fail (answer, entry->http_status, entry->name, entry->summary);
 }
 
--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -93,7 +93,7 @@
     .header_timeout_us = TIMEOUT_US,
     .idle_timeout_us = TIMEOUT_US,
     .unsent_bytes_max = UNSENT_BYTES_MAX,
-    .silence_ms = 10000,
+    .user_timeout_ms = 10000,
     .connections_max = CONNECTIONS_MAX,
   };
   g_autoptr (GError) error = NULL;
@@ -193,7 +193,7 @@
 /* Removes the endpoint INDEX from the endpoint list.  The endpoint continues
    to serve requests.  */
 void
-sfl_remove (struct sfl_fleet *fleet, uint32_t index)
+sfl_unlist (struct sfl_fleet *fleet, uint32_t index)
 {
   sfl_endpoint_publish (endpoint_at (fleet, index), NULL);
 }
@@ -227,7 +227,7 @@
 /* Lists the endpoint INDEX as draining.  The endpoint continues to serve
    requests.  */
 void
-sfl_leave (struct sfl_fleet *fleet, uint32_t index)
+sfl_list_draining (struct sfl_fleet *fleet, uint32_t index)
 {
   sfl_endpoint_publish (endpoint_at (fleet, index), "draining");
 }
@@ -254,14 +254,14 @@
 
 /* Returns how many times the request REQUEST_ID was run.  */
 uint32_t
-sfl_runs (const struct sfl_fleet *fleet, const char *request_id)
+sfl_run_count (const struct sfl_fleet *fleet, const char *request_id)
 {
   return GPOINTER_TO_UINT (g_hash_table_lookup (fleet->runs, request_id));
 }
 
 /* Returns the number of requests that the endpoint INDEX has received.  */
 uint32_t
-sfl_arrivals (const struct sfl_fleet *fleet, uint32_t index)
+sfl_arrival_count (const struct sfl_fleet *fleet, uint32_t index)
 {
   return endpoint_at (fleet, index)->arrivals;
 }
@@ -269,7 +269,7 @@
 /* Returns the number of answers that the daemon cancelled by closing the
    connection.  */
 uint32_t
-sfl_cancelled (const struct sfl_fleet *fleet)
+sfl_cancelled_count (const struct sfl_fleet *fleet)
 {
   return fleet->cancelled;
 }
--- a/standin/fleet.h
+++ b/standin/fleet.h
@@ -17,29 +17,30 @@
 /* How an endpoint handles the next requests. */
 enum sfl_fault
 {
-  SFL_SOUND,       /* no fault */
-  SFL_REFUSES,     /* answers that the request wasn't executed */
-  SFL_FAILS,       /* services: runs the request, answers with status 500 */
-  SFL_CUTS,        /* services: runs the request, closes the connection */
-  SFL_CUTS_MIDWAY, /* streams: closes the connection within the third event */
-  SFL_TEARS,       /* services: runs the request, closes the connection
-                      within the body */
+  SFL_NO_FAULT,       /* no fault */
+  SFL_REFUSES,        /* answers that the request wasn't executed */
+  SFL_FAILS,          /* services: runs the request, answers with status 500 */
+  SFL_CLOSES,         /* services: runs the request, closes the connection */
+  SFL_CLOSES_MIDWAY,  /* streams: closes the connection within the third event
+                       */
+  SFL_TRUNCATES,      /* services: runs the request, closes the connection
+                     within the body */
   SFL_WITHOUT_LENGTH, /* answers with a body that only the end of the
                          connection delimits */
-  SFL_FOREIGN,        /* answers with the id of another request */
-  SFL_UNSIGNED,       /* answers without the signature header */
-  SFL_MUTE,           /* runs the request and never answers */
-  SFL_STALLS          /* engines: stalls, then closes; the engine's report
-                         names the killed engines that its work waits for */
+  SFL_WRONG_REQUEST_ID, /* answers with the id of another request */
+  SFL_UNSIGNED,         /* answers without the signature header */
+  SFL_NEVER_ANSWERS,    /* runs the request and never answers */
+  SFL_STALLS            /* engines: stalls, then closes; the engine's report
+                           names the killed engines that its work waits for */
 };
 
 /* How the store handles calls. */
 enum sfl_store_state
 {
-  SFL_STORE_SOUND,   /* no fault */
-  SFL_STORE_REFUSES, /* answers with status 503 */
-  SFL_STORE_SILENT,  /* never answers calls that arrive in this state */
-  SFL_STORE_LOSES    /* applies joins; closes the connection unanswered */
+  SFL_STORE_NO_FAULT,      /* no fault */
+  SFL_STORE_REFUSES,       /* answers with status 503 */
+  SFL_STORE_NEVER_ANSWERS, /* never answers calls that arrive in this state */
+  SFL_STORE_LOSES_ANSWERS /* applies joins; closes the connection unanswered */
 };
 
 struct sfl_fleet;
@@ -50,10 +51,10 @@
   /* A request has reached the endpoint.  */
   void (*arrived) (void *context, uint32_t endpoint, const char *request_id);
   /* The endpoint starts to run the request.  */
-  void (*runs) (void *context, uint32_t endpoint, const char *request_id);
+  void (*started) (void *context, uint32_t endpoint, const char *request_id);
   /* The endpoint has stopped working on the request: its answer is complete,
      cut off or cancelled.  */
-  void (*rests) (void *context, const char *request_id);
+  void (*stopped) (void *context, const char *request_id);
 };
 
 struct sfl_params
@@ -77,18 +78,18 @@
 void sfl_publish (struct sfl_fleet *fleet, uint64_t version,
                   const char *extra_key);
 void sfl_set_store (struct sfl_fleet *fleet, enum sfl_store_state state);
-void sfl_forget_history (struct sfl_fleet *fleet);
-void sfl_deal_anew (struct sfl_fleet *fleet);
-void sfl_leave (struct sfl_fleet *fleet, uint32_t endpoint);
-void sfl_remove (struct sfl_fleet *fleet, uint32_t endpoint);
+void sfl_truncate_history (struct sfl_fleet *fleet);
+void sfl_rebalance (struct sfl_fleet *fleet);
+void sfl_list_draining (struct sfl_fleet *fleet, uint32_t endpoint);
+void sfl_unlist (struct sfl_fleet *fleet, uint32_t endpoint);
 void sfl_kill (struct sfl_fleet *fleet, uint32_t endpoint);
 void sfl_restart (struct sfl_fleet *fleet, uint32_t endpoint);
 bool sfl_is_alive (const struct sfl_fleet *fleet, uint32_t endpoint);
 void sfl_set_fault (struct sfl_fleet *fleet, bool engines,
                     enum sfl_fault fault, uint32_t requests);
-uint32_t sfl_runs (const struct sfl_fleet *fleet, const char *request_id);
-uint32_t sfl_arrivals (const struct sfl_fleet *fleet, uint32_t endpoint);
-uint32_t sfl_cancelled (const struct sfl_fleet *fleet);
+uint32_t sfl_run_count (const struct sfl_fleet *fleet, const char *request_id);
+uint32_t sfl_arrival_count (const struct sfl_fleet *fleet, uint32_t endpoint);
+uint32_t sfl_cancelled_count (const struct sfl_fleet *fleet);
 bool sfl_is_placed (const struct sfl_fleet *fleet);
 const char *sfl_violation (const struct sfl_fleet *fleet);
 uint16_t sfl_free_port (void);
--- a/standin/fleet_endpoint.c
+++ b/standin/fleet_endpoint.c
@@ -28,7 +28,7 @@
   const struct sfl_params *params = &answer->endpoint->fleet->params;
   if (params->observer != NULL)
     {
-      params->observer->rests (params->context, answer->id);
+      params->observer->stopped (params->context, answer->id);
     }
   uv_close ((uv_handle_t *)&answer->timer, on_answer_closed);
 }
@@ -40,8 +40,8 @@
   struct sfl_fleet *fleet = endpoint->fleet;
   if (fleet->params.observer != NULL)
     {
-      fleet->params.observer->runs (fleet->params.context, endpoint->index,
-                                    id);
+      fleet->params.observer->started (fleet->params.context, endpoint->index,
+                                       id);
     }
   guint runs = GPOINTER_TO_UINT (g_hash_table_lookup (fleet->runs, id));
   g_hash_table_insert (fleet->runs, g_strdup (id),
@@ -109,7 +109,7 @@
 static void
 write_headers (const struct sfl_answer *answer, char *headers, size_t bytes)
 {
-  bool wrong_id = answer->fault == SFL_FOREIGN;
+  bool wrong_id = answer->fault == SFL_WRONG_REQUEST_ID;
   const char *signature
       = answer->fault == SFL_UNSIGNED ? "" : PFH_SIGNATURE ": 1.2.3\r\n";
   g_snprintf (headers, (gulong)bytes,
@@ -129,27 +129,27 @@
   if (!answer->headers_sent)
     {
       write_headers (answer, headers, sizeof headers);
-      nsv_begin (answer->connection, HTTP_STATUS_OK, headers,
-                 answer->fault != SFL_WITHOUT_LENGTH);
+      nsv_begin_response (answer->connection, HTTP_STATUS_OK, headers,
+                          answer->fault != SFL_WITHOUT_LENGTH);
       answer->headers_sent = true;
     }
   answer->last_event_id++;
   int length
       = g_snprintf (event, sizeof event, "id: %u\ndata: %s-%u\n\n",
                     answer->last_event_id, answer->id, answer->last_event_id);
-  if (answer->fault == SFL_CUTS_MIDWAY && answer->last_event_id == 3)
+  if (answer->fault == SFL_CLOSES_MIDWAY && answer->last_event_id == 3)
     {
-      nsv_piece (answer->connection, event, (size_t)length / 2);
+      nsv_send_body (answer->connection, event, (size_t)length / 2);
       nsv_abort (answer->connection);
       return false;
     }
-  nsv_piece (answer->connection, event, (size_t)length);
+  nsv_send_body (answer->connection, event, (size_t)length);
   if (answer->last_event_id < SFL_STREAM_EVENTS)
     {
       return true;
     }
-  nsv_bind (answer->connection, NULL);
-  nsv_end (answer->connection);
+  nsv_set_request_context (answer->connection, NULL);
+  nsv_end_response (answer->connection);
   return false;
 }
 
@@ -172,29 +172,29 @@
   char body[96];
   write_headers (answer, headers, sizeof headers);
   int length = g_snprintf (body, sizeof body, "done %s", answer->id);
-  nsv_bind (answer->connection, NULL);
+  nsv_set_request_context (answer->connection, NULL);
   switch (answer->fault)
     {
     case SFL_FAILS:
-      nsv_answer (answer->connection, HTTP_STATUS_INTERNAL_SERVER_ERROR,
-                  headers, "failed", strlen ("failed"));
+      nsv_respond (answer->connection, HTTP_STATUS_INTERNAL_SERVER_ERROR,
+                   headers, "failed", strlen ("failed"));
       break;
-    case SFL_CUTS:
+    case SFL_CLOSES:
       nsv_abort (answer->connection);
       break;
-    case SFL_TEARS:
-      nsv_begin (answer->connection, HTTP_STATUS_OK, headers, true);
-      nsv_piece (answer->connection, body, (size_t)length / 2);
+    case SFL_TRUNCATES:
+      nsv_begin_response (answer->connection, HTTP_STATUS_OK, headers, true);
+      nsv_send_body (answer->connection, body, (size_t)length / 2);
       nsv_abort (answer->connection);
       break;
     case SFL_WITHOUT_LENGTH:
-      nsv_begin (answer->connection, HTTP_STATUS_OK, headers, false);
-      nsv_piece (answer->connection, body, (size_t)length);
-      nsv_end (answer->connection);
+      nsv_begin_response (answer->connection, HTTP_STATUS_OK, headers, false);
+      nsv_send_body (answer->connection, body, (size_t)length);
+      nsv_end_response (answer->connection);
       break;
     default:
-      nsv_answer (answer->connection, HTTP_STATUS_OK, headers, body,
-                  (size_t)length);
+      nsv_respond (answer->connection, HTTP_STATUS_OK, headers, body,
+                   (size_t)length);
       break;
     }
   finish_answer (answer);
@@ -217,7 +217,7 @@
   bool engine = endpoint->is_engine;
   if (fleet->fault_requests[engine] == 0)
     {
-      return SFL_SOUND;
+      return SFL_NO_FAULT;
     }
   fleet->fault_requests[engine]--;
   return fleet->faults[engine];
@@ -232,7 +232,7 @@
   g_snprintf (headers, sizeof headers,
               PFH_NOT_EXECUTED ": 1\r\n" PFH_ENDPOINT_AT_FAULT ": %s\r\n",
               at_fault);
-  nsv_answer (connection, HTTP_STATUS_SERVICE_UNAVAILABLE, headers, "", 0);
+  nsv_respond (connection, HTTP_STATUS_SERVICE_UNAVAILABLE, headers, "", 0);
 }
 
 /* Runs REQUEST with FAULT.  A stream resumes after the event that the
@@ -253,9 +253,9 @@
   answer->last_event_id = last_event == NULL ? 0 : (uint32_t)atoi (last_event);
   uv_timer_init (fleet->params.loop, &answer->timer);
   answer->timer.data = answer;
-  nsv_bind (connection, answer);
+  nsv_set_request_context (connection, answer);
   count_run (endpoint, id);
-  if (fault == SFL_MUTE)
+  if (fault == SFL_NEVER_ANSWERS)
     {
       return;
     }
@@ -291,7 +291,7 @@
   json_decref (root);
   if (fence < endpoint->fencing_token)
     {
-      nsv_answer (connection, HTTP_STATUS_PRECONDITION_FAILED, "", "", 0);
+      nsv_respond (connection, HTTP_STATUS_PRECONDITION_FAILED, "", "", 0);
       return;
     }
   if (end - first > SFL_LAYERS / 2)
@@ -303,7 +303,7 @@
   endpoint->first_layer = first;
   endpoint->end_layer = end;
   endpoint->orders++;
-  nsv_answer (connection, HTTP_STATUS_ACCEPTED, "", "", 0);
+  nsv_respond (connection, HTTP_STATUS_ACCEPTED, "", "", 0);
   sfl_endpoint_publish (endpoint, "ready");
 }
 
@@ -326,7 +326,7 @@
         }
     }
   g_string_append (body, "]}");
-  nsv_answer (connection, HTTP_STATUS_OK, "", body->str, body->len);
+  nsv_respond (connection, HTTP_STATUS_OK, "", body->str, body->len);
   g_string_free (body, TRUE);
 }
 
@@ -379,7 +379,7 @@
   endpoint->arrivals++;
   if (id == NULL || g_strcmp0 (expected, endpoint->id) != 0)
     {
-      nsv_answer (connection, HTTP_STATUS_MISDIRECTED_REQUEST, "", "", 0);
+      nsv_respond (connection, HTTP_STATUS_MISDIRECTED_REQUEST, "", "", 0);
       return;
     }
   check_request (endpoint, request);
@@ -423,7 +423,7 @@
 
 static const struct nsv_events events = {
   .request = on_request,
-  .gone = on_gone,
+  .disconnected = on_gone,
   .drained = on_drained,
 };
 
--- a/standin/fleet_group.c
+++ b/standin/fleet_group.c
@@ -146,14 +146,14 @@
         }
     }
   g_string_append (body, "]}");
-  nsv_answer (connection, HTTP_STATUS_OK, "", body->str, body->len);
+  nsv_respond (connection, HTTP_STATUS_OK, "", body->str, body->len);
   g_string_free (body, TRUE);
 }
 
 /* Reassigns the partitions so that the first one moves to another member, if
    there is one.  Starts a new generation.  */
 void
-sfl_deal_anew (struct sfl_fleet *fleet)
+sfl_rebalance (struct sfl_fleet *fleet)
 {
   fleet->generation++;
   if (fleet->members->len > 1)
--- a/standin/fleet_store.c
+++ b/standin/fleet_store.c
@@ -49,7 +49,7 @@
       append_number (body, bytes, 4);
       g_byte_array_append (body, data, (guint)bytes);
     }
-  nsv_answer (connection, HTTP_STATUS_OK, "", body->data, body->len);
+  nsv_respond (connection, HTTP_STATUS_OK, "", body->data, body->len);
   g_byte_array_free (body, TRUE);
 }
 
@@ -132,7 +132,7 @@
   uint64_t wait_ms = msg_query_number (url, "WaitMs=");
   if (from < topic->first_offset)
     {
-      nsv_answer (connection, HTTP_STATUS_GONE, "", "{}", 2);
+      nsv_respond (connection, HTTP_STATUS_GONE, "", "{}", 2);
       return;
     }
   if (from < topic->records->len || wait_ms == 0)
@@ -149,7 +149,7 @@
   reader->timer.data = reader;
   uv_timer_start (&reader->timer, on_wait_timeout, wait_ms, 0);
   g_ptr_array_add (fleet->readers, reader);
-  nsv_bind (connection, reader);
+  nsv_set_request_context (connection, reader);
 }
 
 /* Answers with the newest value of each key of a topic, as JSON.  */
@@ -180,7 +180,7 @@
   json_t *root = json_pack ("{s:o,s:b,s:i}", "Items", items, "HasMore", 0,
                             "End", (int)topic->records->len);
   char *text = json_dumps (root, JSON_COMPACT);
-  nsv_answer (connection, HTTP_STATUS_OK, "", text, strlen (text));
+  nsv_respond (connection, HTTP_STATUS_OK, "", text, strlen (text));
   free (text);
   json_decref (root);
 }
@@ -192,11 +192,11 @@
   (void)method;
   struct sfl_fleet *fleet = context;
   const char *url = request->url->str;
-  if (fleet->store_state == SFL_STORE_SILENT)
+  if (fleet->store_state == SFL_STORE_NEVER_ANSWERS)
     {
       return;
     }
-  if (fleet->store_state == SFL_STORE_LOSES)
+  if (fleet->store_state == SFL_STORE_LOSES_ANSWERS)
     {
       if (g_str_has_prefix (url, "/api/log-join"))
         {
@@ -207,7 +207,7 @@
     }
   if (fleet->store_state == SFL_STORE_REFUSES)
     {
-      nsv_answer (connection, HTTP_STATUS_SERVICE_UNAVAILABLE, "", "", 0);
+      nsv_respond (connection, HTTP_STATUS_SERVICE_UNAVAILABLE, "", "", 0);
     }
   else if (g_str_has_prefix (url, "/api/log-read"))
     {
@@ -225,7 +225,7 @@
     }
   else
     {
-      nsv_answer (connection, HTTP_STATUS_NOT_FOUND, "", "", 0);
+      nsv_respond (connection, HTTP_STATUS_NOT_FOUND, "", "", 0);
     }
 }
 
@@ -243,7 +243,7 @@
 
 static const struct nsv_events events = {
   .request = on_request,
-  .gone = on_gone,
+  .disconnected = on_gone,
   .drained = on_drained,
 };
 
@@ -271,18 +271,18 @@
 }
 
 /* Sets how the store handles calls from now on.  Unless STATE is
-   SFL_STORE_SOUND, waiting reads are dropped: SFL_STORE_REFUSES closes their
-   connections, any other state leaves them open without an answer.  */
+   SFL_STORE_NO_FAULT, waiting reads are dropped: SFL_STORE_REFUSES closes
+   their connections, any other state leaves them open without an answer.  */
 void
 sfl_set_store (struct sfl_fleet *fleet, enum sfl_store_state state)
 {
   fleet->store_state = state;
-  while (state != SFL_STORE_SOUND && fleet->readers->len > 0)
+  while (state != SFL_STORE_NO_FAULT && fleet->readers->len > 0)
     {
       struct sfl_reader *reader = g_ptr_array_index (fleet->readers, 0);
       struct nsv_connection *connection = reader->connection;
       end_reader (reader, false);
-      nsv_bind (connection, NULL);
+      nsv_set_request_context (connection, NULL);
       if (state == SFL_STORE_REFUSES)
         {
           nsv_abort (connection);
@@ -293,7 +293,7 @@
 /* Makes the records appended so far unreadable by offset, in all topics.  The
    newest value of each key stays available.  */
 void
-sfl_forget_history (struct sfl_fleet *fleet)
+sfl_truncate_history (struct sfl_fleet *fleet)
 {
   fleet->operator_topic.first_offset = fleet->operator_topic.records->len;
   fleet->endpoint_topic.first_offset = fleet->endpoint_topic.records->len;
--- a/standin/peer_net.c
+++ b/standin/peer_net.c
@@ -139,7 +139,7 @@
 /* Blocks messages sent from now on from SENDER to RECEIVER when CUT is true,
    else unblocks them.  The opposite direction isn't affected.  */
 void
-pn_cut (struct pn_net *net, uint32_t sender, uint32_t receiver, bool cut)
+pn_block (struct pn_net *net, uint32_t sender, uint32_t receiver, bool cut)
 {
   net->blocked[(size_t)sender * net->count + receiver] = cut;
 }
@@ -147,14 +147,14 @@
 /* Blocks, or unblocks when CUT is false, all messages between the peers below
    the index FIRST_OF_SECOND and the other peers.  */
 void
-pn_cut_groups (struct pn_net *net, uint32_t first_of_second, bool cut)
+pn_block_groups (struct pn_net *net, uint32_t first_of_second, bool cut)
 {
   for (uint32_t i = 0; i < first_of_second; i++)
     {
       for (uint32_t j = first_of_second; j < net->count; j++)
         {
-          pn_cut (net, i, j, cut);
-          pn_cut (net, j, i, cut);
+          pn_block (net, i, j, cut);
+          pn_block (net, j, i, cut);
         }
     }
 }
@@ -390,7 +390,7 @@
   for (uint32_t i = 0; i < net->count; i++)
     {
       const struct mem_fleet *fleet = net->peers[i].fleet;
-      if (fleet != NULL && mem_alive_count (fleet) != alive)
+      if (fleet != NULL && mem_active_count (fleet) != alive)
         {
           return false;
         }
--- a/standin/peer_net.h
+++ b/standin/peer_net.h
@@ -32,8 +32,9 @@
 void pn_set_latency (struct pn_net *net, int64_t latency_us);
 void pn_set_loss (struct pn_net *net, uint32_t per_mille);
 void pn_set_candidates (struct pn_net *net, uint32_t peer_count);
-void pn_cut (struct pn_net *net, uint32_t sender, uint32_t receiver, bool cut);
-void pn_cut_groups (struct pn_net *net, uint32_t first_of_second, bool cut);
+void pn_block (struct pn_net *net, uint32_t sender, uint32_t receiver,
+               bool cut);
+void pn_block_groups (struct pn_net *net, uint32_t first_of_second, bool cut);
 void pn_start (struct pn_net *net, uint32_t peer);
 void pn_start_all (struct pn_net *net);
 void pn_kill (struct pn_net *net, uint32_t peer);
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -38,7 +38,7 @@
 static void
 answer_error (struct hs_answer *answer, enum err_kind kind)
 {
-  const struct err_answer *entry = err_answer (kind);
+  const struct err_info *entry = err_info (kind);
   hs_fail (answer, entry->http_status, entry->name, entry->summary);
 }
 
--- a/test/admission_test.c
+++ b/test/admission_test.c
@@ -274,7 +274,7 @@
       print_message ("row: %s\n", row->name);
       for (int j = 0; j < 64; j++)
         {
-          adm_observe_step (adm, 39 * CLK_MS_US);
+          adm_observe_token_interval (adm, 39 * CLK_MS_US);
         }
       (void)fill_streams (adm);
       for (uint64_t id = 0; id < row->queued; id++)
@@ -310,7 +310,7 @@
   uint64_t id;
   for (int j = 0; j < 64; j++)
     {
-      adm_observe_step (adm, 39 * CLK_MS_US);
+      adm_observe_token_interval (adm, 39 * CLK_MS_US);
     }
   (void)fill_streams (adm);
   const struct adm_request request = {
@@ -544,7 +544,7 @@
       struct adm_verdict verdict;
       for (int j = 0; j < 64; j++)
         {
-          adm_observe_step (adm, 39 * CLK_MS_US);
+          adm_observe_token_interval (adm, 39 * CLK_MS_US);
         }
       for (uint64_t id = 0; id < 4; id++)
         {
@@ -733,7 +733,7 @@
       stream->tokens += tokens_per_stream[stream->deprioritized];
       if (floor (stream->tokens) > floor (before))
         {
-          adm_observe_step (
+          adm_observe_token_interval (
               model->adm,
               (int64_t)(MODEL_TICK_US
                         / tokens_per_stream[stream->deprioritized]));
--- a/test/attempt_test.c
+++ b/test/attempt_test.c
@@ -20,29 +20,29 @@
 /* Three kinds of requests: never repeatable, freely repeatable, and repeatable
    as a resumed stream. */
 #define BOOKING .repeat = FLT_REPEAT_NEVER, .attempts_max = 1
-#define LOOKUP .repeat = FLT_REPEAT_FREELY, .attempts_max = 2
+#define LOOKUP .repeat = FLT_REPEAT_IDEMPOTENT, .attempts_max = 2
 #define STREAM                                                                \
   .repeat = FLT_REPEAT_STREAM, .resumable = true, .attempts_max = 2
 
 static const struct row rows[] = {
   { "a booking without a connection is retried elsewhere",
-    { BOOKING, .left_us = LEFT_US },
+    { BOOKING, .remaining_us = LEFT_US },
     ATT_NOT_SENT,
     { .next = ATT_RETRY } },
   { "a booking that was refused without running is retried elsewhere",
-    { BOOKING, .sent = 1, .left_us = LEFT_US },
+    { BOOKING, .sent = 1, .remaining_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_RETRY, .needs_budget = true } },
   { "a booking that was cut off is never repeated",
-    { BOOKING, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
+    { BOOKING, .sent = 1, .may_have_run = 1, .remaining_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
   { "a booking with an invalid response is never repeated",
-    { BOOKING, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
-    ATT_SPOILED,
+    { BOOKING, .sent = 1, .may_have_run = 1, .remaining_us = LEFT_US },
+    ATT_INVALID_ANSWER,
     { .next = ATT_ANSWER, .status = 502 } },
   { "a booking that failed delivers the endpoint's error",
-    { BOOKING, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
+    { BOOKING, .sent = 1, .may_have_run = 1, .remaining_us = LEFT_US },
     ATT_FAILED,
     { .next = ATT_PASS_FAILURE } },
   { "a booking whose deadline passed may have run",
@@ -50,38 +50,38 @@
     ATT_TIMED_OUT,
     { .next = ATT_ANSWER, .status = 504 } },
   { "a booking that every endpoint refused was not run",
-    { BOOKING, .sent = ATT_SENT_MAX, .left_us = LEFT_US },
+    { BOOKING, .sent = ATT_SENT_MAX, .remaining_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_ANSWER, .status = 503 } },
   { "a lookup that was cut off is repeated once",
-    { LOOKUP, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
+    { LOOKUP, .sent = 1, .may_have_run = 1, .remaining_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_RETRY, .needs_budget = true } },
   { "a lookup is not repeated more often than its route allows",
-    { LOOKUP, .sent = 2, .may_have_run = 2, .left_us = LEFT_US },
+    { LOOKUP, .sent = 2, .may_have_run = 2, .remaining_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
   { "a lookup that failed twice delivers the endpoint's error",
-    { LOOKUP, .sent = 2, .may_have_run = 2, .left_us = LEFT_US },
+    { LOOKUP, .sent = 2, .may_have_run = 2, .remaining_us = LEFT_US },
     ATT_FAILED,
     { .next = ATT_PASS_FAILURE } },
   { "a lookup without time left isn't repeated",
-    { LOOKUP, .sent = 1, .may_have_run = 1, .left_us = 1000 },
+    { LOOKUP, .sent = 1, .may_have_run = 1, .remaining_us = 1000 },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
   { "a stream that has begun is resumed",
     { STREAM, .answer_begun = true, .sent = 1, .may_have_run = 1,
-      .left_us = LEFT_US },
+      .remaining_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_RESUME, .needs_budget = true } },
   { "a stream without an attempt left is closed",
     { STREAM, .answer_begun = true, .sent = 2, .may_have_run = 2,
-      .left_us = LEFT_US },
+      .remaining_us = LEFT_US },
     ATT_CUT_OFF,
-    { .next = ATT_BREAK_OFF } },
+    { .next = ATT_ABORT_ANSWER } },
   { "a resumed stream that is refused without running is resumed elsewhere",
     { STREAM, .answer_begun = true, .sent = 2, .may_have_run = 1,
-      .left_us = LEFT_US },
+      .remaining_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_RESUME, .needs_budget = true } },
   { "a stream that may not be resumed is closed",
@@ -90,9 +90,9 @@
       .answer_begun = true,
       .sent = 1,
       .may_have_run = 1,
-      .left_us = LEFT_US },
-    ATT_SILENT,
-    { .next = ATT_BREAK_OFF } },
+      .remaining_us = LEFT_US },
+    ATT_NO_RESPONSE,
+    { .next = ATT_ABORT_ANSWER } },
 };
 
 /* The verdicts while the retry budget isn't exhausted.  */
@@ -116,22 +116,22 @@
 
 static const struct row final_rows[] = {
   { "a lookup that may have run is not reported as not run",
-    { LOOKUP, .sent = 1, .may_have_run = 1, .left_us = LEFT_US },
+    { LOOKUP, .sent = 1, .may_have_run = 1, .remaining_us = LEFT_US },
     ATT_CUT_OFF,
     { .next = ATT_ANSWER, .status = 502 } },
   { "a request refused after an incomplete response may have run",
-    { LOOKUP, .sent = 2, .may_have_run = 1, .left_us = LEFT_US },
+    { LOOKUP, .sent = 2, .may_have_run = 1, .remaining_us = LEFT_US },
     ATT_NOT_RUN,
     { .next = ATT_ANSWER, .status = 502 } },
   { "a booking that was never sent was not run",
-    { BOOKING, .left_us = LEFT_US },
+    { BOOKING, .remaining_us = LEFT_US },
     ATT_NOT_SENT,
     { .next = ATT_ANSWER, .status = 503 } },
   { "a stream that has begun is closed",
     { STREAM, .answer_begun = true, .sent = 1, .may_have_run = 1,
-      .left_us = LEFT_US },
+      .remaining_us = LEFT_US },
     ATT_CUT_OFF,
-    { .next = ATT_BREAK_OFF } },
+    { .next = ATT_ABORT_ANSWER } },
 };
 
 /* The verdicts when the retry budget is exhausted or no endpoint is left.  */
@@ -142,7 +142,8 @@
   for (size_t i = 0; i < sizeof final_rows / sizeof final_rows[0]; i++)
     {
       struct att_verdict got;
-      att_decide_unpaid (&final_rows[i].request, final_rows[i].end, &got);
+      att_decide_without_budget (&final_rows[i].request, final_rows[i].end,
+                                 &got);
       if (got.next != final_rows[i].want.next
           || got.status != final_rows[i].want.status)
         {
@@ -163,12 +164,12 @@
     struct att_request request;
     bool want;
   } cases[] = {
-    { { STREAM, .answer_begun = true, .left_us = LEFT_US }, true },
+    { { STREAM, .answer_begun = true, .remaining_us = LEFT_US }, true },
     { { STREAM, .answer_begun = true, .sent = 1, .may_have_run = 1,
-        .left_us = LEFT_US },
+        .remaining_us = LEFT_US },
       false },
-    { { BOOKING, .left_us = LEFT_US }, false },
-    { { LOOKUP, .left_us = 1000 }, false },
+    { { BOOKING, .remaining_us = LEFT_US }, false },
+    { { LOOKUP, .remaining_us = 1000 }, false },
   };
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
--- a/test/caller_test.c
+++ b/test/caller_test.c
@@ -38,7 +38,7 @@
   g_strlcpy (account->name, "clerks", sizeof account->name);
   if (strcmp (good, token_sha256) != 0)
     {
-      err_fail (failure, ERR_UNAUTHORIZED, NULL);
+      err_set_failure (failure, ERR_UNAUTHORIZED, NULL);
       return false;
     }
   return true;
@@ -48,22 +48,23 @@
    model `full' before it.  */
 static bool
 run_draft (void *user_data, const struct cal_account *account,
-           const struct cal_terms *terms, const struct cal_draft *draft,
-           cal_on_token on_token, void *token_data,
-           struct cal_draft_result *result, struct err_failure *failure)
+           const struct cal_request_options *terms,
+           const struct cal_draft *draft, cal_on_token on_token,
+           void *token_data, struct cal_draft_result *result,
+           struct err_failure *failure)
 {
   (void)user_data;
   (void)account;
   (void)terms;
   if (strcmp (draft->model, "full") == 0)
     {
-      err_fail (failure, ERR_NO_CAPACITY, NULL);
+      err_set_failure (failure, ERR_NO_CAPACITY, NULL);
       return false;
     }
   on_token ("a ", 0, token_data);
   if (strcmp (draft->model, "broken") == 0)
     {
-      err_fail (failure, ERR_ENDPOINT_FAILED, NULL);
+      err_set_failure (failure, ERR_ENDPOINT_FAILED, NULL);
       return false;
     }
   on_token ("b ", 0, token_data);
@@ -76,7 +77,7 @@
 
 static bool
 call_service (void *user_data, const struct cal_account *account,
-              const struct cal_terms *terms,
+              const struct cal_request_options *terms,
               const struct cal_service_call *call,
               struct cal_service_answer *answer, struct err_failure *failure)
 {
@@ -85,7 +86,7 @@
   (void)terms;
   if (strcmp (call->service, "bookings") != 0)
     {
-      err_fail (failure, ERR_NOT_FOUND, NULL);
+      err_set_failure (failure, ERR_NOT_FOUND, NULL);
       return false;
     }
   answer->status = 201;
@@ -103,7 +104,7 @@
   (void)account;
   if (strcmp (key, "known") != 0)
     {
-      err_fail (failure, ERR_NOT_FOUND, NULL);
+      err_set_failure (failure, ERR_NOT_FOUND, NULL);
       return false;
     }
   *outcome = g_strdup ("{\"ran\":\"yes\"}");
--- a/test/claims_test.c
+++ b/test/claims_test.c
@@ -424,8 +424,8 @@
 {
   const struct sch_call *call = sch_get (sch, step->a);
   assert_int_equal (call->answers, 1);
-  assert_string_equal (err_answer (call->kind)->name,
-                       err_answer ((enum err_kind)step->b)->name);
+  assert_string_equal (err_info (call->kind)->name,
+                       err_info ((enum err_kind)step->b)->name);
   assert_int_equal (call->ran, step->c);
 }
 
@@ -810,7 +810,7 @@
   struct clm *clm = sch->nodes[1].clm;
   assert_int_equal (clm_lookup (clm, ACCOUNT, KEY, sch->now_us).kind,
                     ERR_KEY_IN_PROGRESS);
-  clm_holder_gone (clm, holder);
+  clm_holder_dead (clm, holder);
   assert_int_equal (clm_lookup (clm, ACCOUNT, KEY, sch->now_us).kind,
                     ERR_KEY_UNKNOWN);
   sch_destroy (sch);
--- a/test/confstate_test.c
+++ b/test/confstate_test.c
@@ -242,7 +242,8 @@
     }
   else
     {
-      cst_append_lost (node->cst, event->token, fleet->now_us, node->actions);
+      cst_append_unknown (node->cst, event->token, fleet->now_us,
+                          node->actions);
     }
   perform_actions (fleet, event->node);
 }
@@ -733,8 +734,8 @@
     {
     case ANSWER:
       assert_int_equal (call->answers, 1);
-      assert_string_equal (err_answer (call->kind)->name,
-                           err_answer ((enum err_kind)step->b)->name);
+      assert_string_equal (err_info (call->kind)->name,
+                           err_info ((enum err_kind)step->b)->name);
       assert_int_equal (call->version, step->c);
       break;
     case UNANSWERED:
--- a/test/entry_test.c
+++ b/test/entry_test.c
@@ -177,7 +177,7 @@
   const struct ncl_params client_params = {
     .idle_max_us = CLK_S_US,
     .connect_timeout_us = 2 * CLK_S_US,
-    .silence_ms = 20000,
+    .user_timeout_ms = 20000,
     .idle_connections_max = 4,
   };
   uv_loop_init (&fixture->loop);
@@ -320,19 +320,19 @@
     .retry_after = true },
   { .name = "a booking whose connection is cut runs once",
     .path = "/book/a",
-    .fault = SFL_CUTS,
+    .fault = SFL_CLOSES,
     .fault_requests = 1,
     .status = 502,
     .runs = 1 },
   { .name = "a booking whose answer is cut off runs once",
     .path = "/book/a",
-    .fault = SFL_TEARS,
+    .fault = SFL_TRUNCATES,
     .fault_requests = 1,
     .status = 502,
     .runs = 1 },
   { .name = "a booking that gets the answer to another request",
     .path = "/book/a",
-    .fault = SFL_FOREIGN,
+    .fault = SFL_WRONG_REQUEST_ID,
     .fault_requests = 1,
     .status = 502,
     .runs = 1 },
@@ -344,7 +344,7 @@
     .runs = 1 },
   { .name = "a booking without an answer ends at its deadline",
     .path = "/book/a",
-    .fault = SFL_MUTE,
+    .fault = SFL_NEVER_ANSWERS,
     .fault_requests = 1,
     .status = 504,
     .runs = 1 },
@@ -356,7 +356,7 @@
     .runs = 1 },
   { .name = "a lookup whose connection is cut runs again",
     .path = "/look/a",
-    .fault = SFL_CUTS,
+    .fault = SFL_CLOSES,
     .fault_requests = 1,
     .status = 200,
     .body = BODY_DONE,
@@ -377,7 +377,7 @@
   { .name = "a stream that is cut within an event is resumed",
     .path = "/draft/a",
     .engines = true,
-    .fault = SFL_CUTS_MIDWAY,
+    .fault = SFL_CLOSES_MIDWAY,
     .fault_requests = 1,
     .status = 200,
     .body = BODY_STREAM,
@@ -406,13 +406,13 @@
   bool body_matches
       = row->body == BODY_ANY || strcmp (expected->str, call->body->str) == 0;
   if (call->status != row->status || !call->complete || !body_matches
-      || sfl_runs (fixture->fleet, id) != row->runs
+      || sfl_run_count (fixture->fleet, id) != row->runs
       || call->has_retry_after != row->retry_after
       || call->ends_with_connection)
     {
       fail_msg ("%s: status %u, complete %d, %u runs, retry-after %d, '%s'",
                 row->name, call->status, call->complete,
-                sfl_runs (fixture->fleet, id), call->has_retry_after,
+                sfl_run_count (fixture->fleet, id), call->has_retry_after,
                 call->body->str);
     }
   g_string_free (expected, TRUE);
@@ -423,8 +423,8 @@
 static void
 restore_endpoints (struct fixture *fixture)
 {
-  sfl_set_fault (fixture->fleet, false, SFL_SOUND, 0);
-  sfl_set_fault (fixture->fleet, true, SFL_SOUND, 0);
+  sfl_set_fault (fixture->fleet, false, SFL_NO_FAULT, 0);
+  sfl_set_fault (fixture->fleet, true, SFL_NO_FAULT, 0);
   run_for (fixture, 500 * CLK_MS_US);
   for (uint32_t i = 0; i < 24; i++)
     {
@@ -462,7 +462,7 @@
       check_answer (fixture, row, id, &call);
       clear_call (&call);
       g_free (request);
-      if (row->fault != SFL_SOUND)
+      if (row->fault != SFL_NO_FAULT)
         {
           restore_endpoints (fixture);
         }
@@ -547,7 +547,7 @@
 {
   struct fixture *fixture = *state;
   struct call call;
-  uint32_t before = sfl_cancelled (fixture->fleet);
+  uint32_t before = sfl_cancelled_count (fixture->fleet);
   char *request
       = build_request ("POST", FLEET_HOST, "/draft/a", "key-1", "leaver", "");
   start_call (fixture, &call, sep_caller_address (fixture->daemon), request,
@@ -558,7 +558,7 @@
     }
   ncl_cancel (call.exchange);
   run_for (fixture, 100 * CLK_MS_US);
-  assert_int_equal (sfl_cancelled (fixture->fleet), before + 1);
+  assert_int_equal (sfl_cancelled_count (fixture->fleet), before + 1);
   clear_call (&call);
   g_free (request);
 }
@@ -596,17 +596,17 @@
     uint32_t status;       /* expected with the account's key */
     uint32_t extra_status; /* expected with key-2 */
   } steps[] = {
-    { 0, NULL, SFL_STORE_SOUND, 0, 200, 401 },
-    { 5, "key-2", SFL_STORE_SOUND, 200, 200, 200 },
-    { 3, NULL, SFL_STORE_SOUND, 200, 200,
+    { 0, NULL, SFL_STORE_NO_FAULT, 0, 200, 401 },
+    { 5, "key-2", SFL_STORE_NO_FAULT, 200, 200, 200 },
+    { 3, NULL, SFL_STORE_NO_FAULT, 200, 200,
       200 }, /* an older one has no effect */
-    { 8, NULL, SFL_STORE_SOUND, 200, 200, 401 },
+    { 8, NULL, SFL_STORE_NO_FAULT, 200, 200, 401 },
     { 0, NULL, SFL_STORE_REFUSES, 100, 200, 401 },
     { 0, NULL, SFL_STORE_REFUSES, REVOKE_MS, 503, 503 },
-    { 0, NULL, SFL_STORE_SOUND, 1500, 200, 401 },
+    { 0, NULL, SFL_STORE_NO_FAULT, 1500, 200, 401 },
     /* Calls that the store never answered don't delay a later change. */
-    { 0, NULL, SFL_STORE_SILENT, 4500, 503, 503 },
-    { 11, "key-2", SFL_STORE_SOUND, CONFIG_MS, 200, 200 },
+    { 0, NULL, SFL_STORE_NEVER_ANSWERS, 4500, 503, 503 },
+    { 11, "key-2", SFL_STORE_NO_FAULT, CONFIG_MS, 200, 200 },
   };
   for (size_t i = 0; i < sizeof steps / sizeof steps[0]; i++)
     {
@@ -632,14 +632,14 @@
 {
   struct fixture *fixture = *state;
   uint32_t leaving = ENGINES;
-  sfl_leave (fixture->fleet, leaving);
+  sfl_list_draining (fixture->fleet, leaving);
   run_for (fixture, (DRAIN_MS + 100) * CLK_MS_US);
-  uint32_t before = sfl_arrivals (fixture->fleet, leaving);
+  uint32_t before = sfl_arrival_count (fixture->fleet, leaving);
   for (uint32_t i = 0; i < 10; i++)
     {
       assert_int_equal (send_booking (fixture, "key-1"), 200);
     }
-  assert_int_equal (sfl_arrivals (fixture->fleet, leaving), before);
+  assert_int_equal (sfl_arrival_count (fixture->fleet, leaving), before);
 }
 
 /* When an engine dies, streams through it are resumed on other engines, each
@@ -669,11 +669,11 @@
       g_snprintf (id, sizeof id, "dies-%u", i);
       GString *expected = expected_stream (id);
       if (!calls[i].complete || strcmp (calls[i].body->str, expected->str) != 0
-          || sfl_runs (fixture->fleet, id) > 2)
+          || sfl_run_count (fixture->fleet, id) > 2)
         {
           fail_msg ("%s: status %u, complete %d, %u runs, '%s'", id,
                     calls[i].status, calls[i].complete,
-                    sfl_runs (fixture->fleet, id), calls[i].body->str);
+                    sfl_run_count (fixture->fleet, id), calls[i].body->str);
         }
       g_string_free (expected, TRUE);
       clear_call (&calls[i]);
--- a/test/error_test.c
+++ b/test/error_test.c
@@ -14,14 +14,14 @@
   (void)state;
   for (int i = 0; i < ERR_KIND_COUNT; i++)
     {
-      const struct err_answer *answer = err_answer ((enum err_kind)i);
+      const struct err_info *answer = err_info ((enum err_kind)i);
       assert_non_null (answer->name);
       assert_non_null (answer->summary);
       assert_in_range (answer->http_status, 200, 599);
       for (int j = 0; j < i; j++)
         {
           assert_string_not_equal (answer->name,
-                                   err_answer ((enum err_kind)j)->name);
+                                   err_info ((enum err_kind)j)->name);
         }
     }
 }
--- a/test/flow_test.c
+++ b/test/flow_test.c
@@ -67,13 +67,13 @@
   uint32_t wide = fl_add_edge (network, 0, 1, 9);
   uint32_t narrow = fl_add_edge (network, 1, 2, 4);
   uint32_t last = fl_add_edge (network, 2, 3, 7);
-  assert_true (fabs (fl_maximum (network, 0, 3) - 4) < 1e-9);
-  assert_true (fl_reached (network, 1));
-  assert_false (fl_reached (network, 2));
+  assert_true (fabs (fl_max_flow (network, 0, 3) - 4) < 1e-9);
+  assert_true (fl_on_source_side (network, 1));
+  assert_false (fl_on_source_side (network, 2));
   assert_true (fabs (fl_flow (network, wide) - 4) < 1e-9);
   fl_set_capacity (network, narrow, 20);
-  assert_true (fabs (fl_maximum (network, 0, 3) - 7) < 1e-9);
-  assert_true (fl_reached (network, 2));
+  assert_true (fabs (fl_max_flow (network, 0, 3) - 7) < 1e-9);
+  assert_true (fl_on_source_side (network, 2));
   assert_true (fabs (fl_flow (network, last) - 7) < 1e-9);
   fl_destroy (network);
 }
--- a/test/lease_test.c
+++ b/test/lease_test.c
@@ -428,7 +428,7 @@
       node->paused = step->op == PAUSE;
       break;
     case CANDIDATE:
-      lse_set_willing (node->lse, step->b);
+      lse_set_candidate (node->lse, step->b);
       break;
     case HOLDER:
       assert_int_equal (fleet->holder, step->a);
--- a/test/leaving_test.c
+++ b/test/leaving_test.c
@@ -51,12 +51,12 @@
   switch (report->source)
     {
     case LIST:
-      return lv_list_says (hosts, HOST, report->order, report->leaving);
+      return lv_apply_host_list (hosts, HOST, report->order, report->leaving);
     case DRAIN:
-      return lv_drain_says (hosts, HOST, report->order, report->leaving);
+      return lv_apply_drain (hosts, HOST, report->order, report->leaving);
     case ENDPOINT:
-      return lv_endpoint_says (hosts, HOST, report->order, report->leaving,
-                               now_us);
+      return lv_apply_endpoint_report (hosts, HOST, report->order,
+                                       report->leaving, now_us);
     case PEER_DRAIN:
       mark.cause = LV_DRAIN;
       break;
@@ -67,7 +67,7 @@
       mark.cause = LV_LIST;
       break;
     }
-  return lv_peer_says (hosts, &mark, now_us);
+  return lv_apply_peer_mark (hosts, &mark, now_us);
 }
 
 static const struct report_case report_cases[] = {
@@ -166,7 +166,7 @@
         {
           const struct lv_outcome outcome = apply_report (hosts, report);
           const bool matches = lv_takes_work (hosts, HOST) == report->open
-                               && outcome.tell == report->tell
+                               && outcome.notify_peers == report->tell
                                && outcome.changed == (report->open != open);
           if (!matches)
             {
@@ -200,7 +200,7 @@
         {
           const uint32_t chosen = rest % count;
           rest /= count;
-          lv_peer_says (hosts, &marks[left[chosen]], 0);
+          lv_apply_peer_mark (hosts, &marks[left[chosen]], 0);
           left[chosen] = left[count - 1];
         }
       assert_int_equal (lv_causes (hosts, HOST), 1U << LV_ENDPOINT);
@@ -213,7 +213,7 @@
 {
   (void)state;
   struct lv_hosts *hosts = lv_create ();
-  lv_list_says (hosts, HOST, 3, true);
+  lv_apply_host_list (hosts, HOST, 3, true);
   lv_remove (hosts, HOST);
   assert_true (lv_takes_work (hosts, HOST));
   assert_int_equal (lv_causes (hosts, HOST), 0);
--- a/test/limits_test.c
+++ b/test/limits_test.c
@@ -142,7 +142,8 @@
       else
         {
           evd_failure (evidence,
-                       result == RESULT_DEATH ? EVD_DEATH : EVD_DOUBT, now_us);
+                       result == RESULT_DEATH ? EVD_DEAD : EVD_INCONCLUSIVE,
+                       now_us);
         }
     }
 }
@@ -182,11 +183,11 @@
   int64_t last_backoff_us = 0;
   for (uint32_t failure = 0; failure < 4; failure++)
     {
-      assert_true (evd_failure (&evidence, EVD_DEATH, now_us));
-      int64_t backoff_us = evidence.rest_until_us - now_us;
+      assert_true (evd_failure (&evidence, EVD_DEAD, now_us));
+      int64_t backoff_us = evidence.backoff_until_us - now_us;
       assert_true (backoff_us > last_backoff_us);
-      assert_false (evd_usable (&evidence, evidence.rest_until_us - 1));
-      now_us = evidence.rest_until_us;
+      assert_false (evd_usable (&evidence, evidence.backoff_until_us - 1));
+      now_us = evidence.backoff_until_us;
       assert_true (evd_usable (&evidence, now_us));
       evd_begin (&evidence);
       assert_false (evd_usable (&evidence, now_us));
@@ -197,7 +198,7 @@
   evd_begin (&evidence);
   assert_true (evd_usable (&evidence, now_us));
   record_results (&evidence, RESULT_SUCCESS, 40, now_us);
-  assert_int_equal (evidence.strikes, 0);
+  assert_int_equal (evidence.backoffs, 0);
 }
 
 /* Guards against treating an engine as dead that only refused requests: its
@@ -209,19 +210,22 @@
   (void)state;
   static const struct
   {
-    enum evd_proof proofs[3];
+    enum evd_failure_kind proofs[3];
     uint32_t count;
     bool success; /* a success follows the failures */
     bool dead;
   } rows[] = {
-    { { EVD_DOUBT, EVD_DOUBT, EVD_DOUBT }, 3, false, false },
-    { { EVD_REFUSAL }, 1, false, false },
-    { { EVD_DEATH }, 1, false, true },
-    { { EVD_DEATH, EVD_DOUBT }, 2, false, true },
-    { { EVD_DEATH, EVD_REFUSAL }, 2, false, false },
-    { { EVD_UNABLE }, 1, false, false },
-    { { EVD_DEATH, EVD_UNABLE }, 2, false, true },
-    { { EVD_DEATH }, 1, true, false },
+    { { EVD_INCONCLUSIVE, EVD_INCONCLUSIVE, EVD_INCONCLUSIVE },
+      3,
+      false,
+      false },
+    { { EVD_REFUSING }, 1, false, false },
+    { { EVD_DEAD }, 1, false, true },
+    { { EVD_DEAD, EVD_INCONCLUSIVE }, 2, false, true },
+    { { EVD_DEAD, EVD_REFUSING }, 2, false, false },
+    { { EVD_UNAVAILABLE }, 1, false, false },
+    { { EVD_DEAD, EVD_UNAVAILABLE }, 2, false, true },
+    { { EVD_DEAD }, 1, true, false },
   };
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
@@ -261,7 +265,7 @@
     {
       int64_t now_us = 100 * S_US;
       int64_t proved_us = now_us - rows[i].age_us;
-      assert_int_equal (frs_serves_keys (&params, proved_us, now_us),
+      assert_int_equal (frs_may_serve_keys (&params, proved_us, now_us),
                         rows[i].serves);
       assert_int_equal (frs_may_deny (&params, proved_us, now_us),
                         rows[i].denies);
@@ -287,8 +291,8 @@
   };
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
-      assert_int_equal (spn_takes ((int64_t)(rows[i].age_s * S_US), 8 * S_US,
-                                   (int64_t)(rows[i].expected_s * S_US)),
+      assert_int_equal (spn_accepts ((int64_t)(rows[i].age_s * S_US), 8 * S_US,
+                                     (int64_t)(rows[i].expected_s * S_US)),
                         rows[i].want);
     }
 }
@@ -315,7 +319,7 @@
     {
       for (uint32_t n = 0; n < rows[i].times; n++)
         {
-          spn_observe (&peak_us, rows[i].run_s * S_US);
+          spn_update_peak (&peak_us, rows[i].run_s * S_US);
         }
       assert_true (peak_us >= rows[i].least_s * S_US);
       assert_true (peak_us <= rows[i].most_s * S_US);
