--- a/test/membership_test.c
+++ b/test/membership_test.c
@@ -33,7 +33,7 @@
       observed->deaths += action->state == MBR_DEAD;
       observed->left += action->state == MBR_LEFT;
       break;
-    case MEM_MARK_LEARNT:
+    case MEM_MARK_RECEIVED:
       observed->marks += 1;
       break;
     case MEM_NEWER_CONFIG:
@@ -176,8 +176,8 @@
               = create_joined_net (fault->machines, seed, &observed);
           pn_set_loss (net, fault->loss_per_mille);
           pn_set_latency (net, MAX (fault->latency_us, PN_STEP_US));
-          pn_cut (net, 0, 1, fault->cut_one_way || fault->cut_both_ways);
-          pn_cut (net, 1, 0, fault->cut_both_ways);
+          pn_block (net, 0, 1, fault->cut_one_way || fault->cut_both_ways);
+          pn_block (net, 1, 0, fault->cut_both_ways);
           pn_pause (net, 0, fault->pause_us > 0);
           pn_run (net, fault->pause_us);
           pn_pause (net, 0, false);
@@ -230,13 +230,13 @@
       const uint32_t first = cases[i].first_side;
       struct observed observed;
       struct pn_net *net = create_joined_net (machines, 11, &observed);
-      pn_cut_groups (net, first, true);
+      pn_block_groups (net, first, true);
       pn_run (net, cases[i].duration_us);
-      assert_int_equal (mem_alive_count (pn_fleet (net, 0)), first);
-      assert_int_equal (mem_alive_count (pn_fleet (net, machines - 1)),
+      assert_int_equal (mem_active_count (pn_fleet (net, 0)), first);
+      assert_int_equal (mem_active_count (pn_fleet (net, machines - 1)),
                         machines - first);
       const uint32_t deaths = observed.deaths;
-      pn_cut_groups (net, first, false);
+      pn_block_groups (net, first, false);
       wait_for_all (net, machines, cases[i].bound_us);
       assert_true (pn_all_see (net, machines));
       pn_run (net, 60 * S_US);
@@ -333,7 +333,7 @@
       const struct lv_mark mark = {
         .host = "runner-17", .cause = LV_ENDPOINT, .order = 1, .leaving = true
       };
-      mem_tell_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
+      mem_broadcast_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
       pn_run (net, 3 * S_US);
       assert_int_equal (observed.marks, cases[i].machines - 1);
       pn_destroy (net);
@@ -349,7 +349,7 @@
   const struct lv_mark mark = {
     .host = "runner-17", .cause = LV_LIST, .order = 40, .leaving = true
   };
-  mem_tell_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
+  mem_broadcast_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
   pn_run (net, 300 * S_US);
   observed.marks = 0;
   pn_kill (net, 8);
@@ -464,7 +464,7 @@
   const struct lv_mark mark = {
     .host = "runner-17", .cause = LV_ENDPOINT, .order = 1, .leaving = true
   };
-  mem_tell_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
+  mem_broadcast_mark (pn_fleet (net, 0), &mark, pn_now_us (net));
   pn_run (net, 3 * S_US);
   assert_int_equal (observed.marks, machines - 1);
 
@@ -485,12 +485,12 @@
   assert_true (bytes_per_s (net, machines, 20 * S_US) < 300);
   assert_int_equal (observed.deaths, machines - 1);
 
-  pn_cut_groups (net, 113, true);
+  pn_block_groups (net, 113, true);
   pn_run (net, 180 * S_US);
-  assert_int_equal (mem_alive_count (pn_fleet (net, 0)), 113);
-  assert_int_equal (mem_alive_count (pn_fleet (net, 113)), 226);
+  assert_int_equal (mem_active_count (pn_fleet (net, 0)), 113);
+  assert_int_equal (mem_active_count (pn_fleet (net, 113)), 226);
   const uint32_t deaths = observed.deaths;
-  pn_cut_groups (net, 113, false);
+  pn_block_groups (net, 113, false);
   assert_true (bytes_per_s (net, machines, 30 * S_US) < 12000);
   wait_for_all (net, machines - 1, 30 * S_US);
   assert_true (pn_all_see (net, machines - 1));
@@ -660,7 +660,7 @@
       message.sender = cases[i].has_sender ? &sender : NULL;
       mem_receive (fleet, &message, 1);
       assert_int_equal (drain_actions (fleet, MEM_SEND), 0);
-      assert_int_equal (mem_alive_count (fleet), 1);
+      assert_int_equal (mem_active_count (fleet), 1);
       mem_destroy (fleet);
     }
 }
--- a/test/orders_test.c
+++ b/test/orders_test.c
@@ -20,7 +20,7 @@
 
 struct engine
 {
-  GArray *held;  /* struct ord_held */
+  GArray *held;  /* struct ord_held_range */
   GArray *since; /* int64_t: when each load began, in the order of held */
   bool silent;   /* sends no reports */
   bool leaving;
@@ -253,7 +253,7 @@
   for (uint32_t i = 0; i < HOSTS; i++)
     {
       fixture->engines[i].held
-          = g_array_new (FALSE, FALSE, sizeof (struct ord_held));
+          = g_array_new (FALSE, FALSE, sizeof (struct ord_held_range));
       fixture->engines[i].since = g_array_new (FALSE, FALSE, sizeof (int64_t));
     }
   return fixture;
@@ -277,8 +277,8 @@
 {
   for (guint i = 0; i < engine->held->len; i++)
     {
-      const struct ord_held *held
-          = &g_array_index (engine->held, struct ord_held, i);
+      const struct ord_held_range *held
+          = &g_array_index (engine->held, struct ord_held_range, i);
       if (held->range.first == first && held->range.end == end)
         {
           return (int)i;
@@ -296,7 +296,7 @@
     {
       return;
     }
-  struct ord_held held = { { host, 0, first, end }, ready };
+  struct ord_held_range held = { { host, 0, first, end }, ready };
   g_array_append_val (engine->held, held);
   g_array_append_val (engine->since, fixture->now_us);
 }
@@ -354,15 +354,15 @@
   struct engine *engine = &fixture->engines[host];
   for (guint i = 0; i < engine->held->len; i++)
     {
-      struct ord_held *held
-          = &g_array_index (engine->held, struct ord_held, i);
+      struct ord_held_range *held
+          = &g_array_index (engine->held, struct ord_held_range, i);
       int64_t since_us = g_array_index (engine->since, int64_t, i);
       held->ready = held->ready || fixture->now_us - since_us >= LOAD_US;
     }
   if (!engine->silent && fixture->step % REPORT_STEPS == host)
     {
       ord_report (fixture->ord, host,
-                  (const struct ord_held *)engine->held->data,
+                  (const struct ord_held_range *)engine->held->data,
                   engine->held->len, !engine->leaving, fixture->now_us);
     }
 }
@@ -374,8 +374,8 @@
     {
       for (guint j = 0; j < fixture->engines[i].held->len; j++)
         {
-          const struct ord_held *held
-              = &g_array_index (fixture->engines[i].held, struct ord_held, j);
+          const struct ord_held_range *held = &g_array_index (
+              fixture->engines[i].held, struct ord_held_range, j);
           if (held->ready && layer >= held->range.first
               && layer < held->range.end)
             {
@@ -398,8 +398,8 @@
         {
           report (fixture, i);
         }
-      ord_lease (fixture->ord, fixture->lease, fixture->fence,
-                 fixture->now_us);
+      ord_set_lease (fixture->ord, fixture->lease, fixture->fence,
+                     fixture->now_us);
       ord_tick (fixture->ord, fixture->now_us, fixture->actions);
       for (uint32_t i = 0; i < act_list_length (fixture->actions); i++)
         {
--- a/test/placement_test.c
+++ b/test/placement_test.c
@@ -161,7 +161,7 @@
       double share = share_of_bound (config, NULL, placement);
       print_message ("row: %s (%.4f)\n", row->name, share);
       assert_within_memory (config, placement);
-      assert_int_equal (bound.uncovered, 0);
+      assert_int_equal (bound.under_replicated, 0);
       assert_true (share >= row->bound_share_min);
       pl_destroy (placement);
       cfg_config_destroy (config);
--- a/test/platform_test.c
+++ b/test/platform_test.c
@@ -44,7 +44,7 @@
   assert_int_equal (config->version, 7);
   assert_int_equal (config->routes[0].repeat, FLT_REPEAT_STREAM);
   assert_int_equal (config->routes[1].repeat, FLT_REPEAT_NEVER);
-  assert_int_equal (config->routes[2].repeat, FLT_REPEAT_FREELY);
+  assert_int_equal (config->routes[2].repeat, FLT_REPEAT_IDEMPOTENT);
   /* Requests of an unknown kind may not be retried. */
   assert_int_equal (config->routes[3].repeat, FLT_REPEAT_NEVER);
   assert_int_equal (config->routes[3].split_count, 0);
--- a/test/relay_test.c
+++ b/test/relay_test.c
@@ -176,7 +176,7 @@
 run_row (const struct row *row, struct answer *answer)
 {
   const struct ncl_params client_params
-      = { .connect_timeout_us = CLK_S_US, .silence_ms = 1000 };
+      = { .connect_timeout_us = CLK_S_US, .user_timeout_ms = 1000 };
   char address[32];
   uv_loop_t loop;
   g_snprintf (address, sizeof address, "127.0.0.1:%d",
--- a/test/room_test.c
+++ b/test/room_test.c
@@ -55,7 +55,7 @@
   (void)state;
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
-      struct rom_path paths[PATHS_MAX] = { { .room = 0 } };
+      struct rom_path paths[PATHS_MAX] = { { .capacity = 0 } };
       for (uint32_t n = 0; n < rows[i].path_count; n++)
         {
           paths[n].resources = (uint32_t *)rows[i].needs[n];
@@ -65,7 +65,7 @@
                   rows[i].path_count);
       for (uint32_t n = 0; n < rows[i].path_count; n++)
         {
-          assert_true (fabs (paths[n].room - rows[i].want[n]) < 1e-9);
+          assert_true (fabs (paths[n].capacity - rows[i].want[n]) < 1e-9);
         }
     }
 }
--- a/test/roster_test.c
+++ b/test/roster_test.c
@@ -9,7 +9,7 @@
 
 #define S_US INT64_C (1000000)
 
-/* Returns an endpoint as rst_take gets it.  */
+/* Returns an endpoint as rst_update gets it.  */
 static struct rst_endpoint *
 new_endpoint (const char *id, int64_t born_ms, bool leaving)
 {
@@ -18,7 +18,7 @@
   endpoint->service = g_strdup ("draft");
   endpoint->address = g_strdup ("10.0.0.1:80");
   endpoint->data_centre = g_strdup ("kgn");
-  endpoint->born_ms = born_ms;
+  endpoint->started_ms = born_ms;
   endpoint->leaving = leaving;
   return endpoint;
 }
@@ -106,11 +106,12 @@
   switch (step->action)
     {
     case ACTION_LIST:
-      rst_take (roster, new_endpoint ("a", step->born_ms, false),
-                step->offset);
+      rst_update (roster, new_endpoint ("a", step->born_ms, false),
+                  step->offset);
       break;
     case ACTION_LEAVE:
-      rst_take (roster, new_endpoint ("a", step->born_ms, true), step->offset);
+      rst_update (roster, new_endpoint ("a", step->born_ms, true),
+                  step->offset);
       break;
     case ACTION_REMOVE:
       rst_remove (roster, "a", step->offset, step->at_us);
@@ -119,10 +120,10 @@
       rst_outage (roster);
       break;
     case ACTION_CONTACT:
-      rst_contact (roster, step->at_us);
+      rst_list_read (roster, step->at_us);
       break;
     case ACTION_TICK:
-      rst_tick (roster, step->at_us);
+      rst_expire (roster, step->at_us);
       break;
     case ACTION_EMPTY_FULL_READ:
       rst_begin_full (roster);
--- a/test/routing_test.c
+++ b/test/routing_test.c
@@ -369,7 +369,7 @@
           ld_step_done (&load, row->steps_us[j], NOW_US + j);
         }
       print_message ("row: %s\n", row->name);
-      assert_in_range (ld_silence_bound_us (&load), row->min_us, row->max_us);
+      assert_in_range (ld_step_timeout_us (&load), row->min_us, row->max_us);
     }
 }
 
@@ -386,7 +386,7 @@
       ld_step_done (&load, i % 2 == 0 ? 0 : 300000, NOW_US);
     }
   assert_int_equal (load.step_us, 300000);
-  assert_true (ld_silence_bound_us (&load) > 300000);
+  assert_true (ld_step_timeout_us (&load) > 300000);
 }
 
 int
--- a/test/schedule.c
+++ b/test/schedule.c
@@ -247,7 +247,7 @@
 {
   struct sch_node *node = &sch->nodes[event->node];
   const struct sch_call *call = g_ptr_array_index (sch->calls, event->id - 1);
-  if (!clm_sent (node->clm, event->id, sch->now_us))
+  if (!clm_begin_send (node->clm, event->id, sch->now_us))
     {
       clm_not_run (node->clm, event->id, ERR_DEADLINE_EXCEEDED, sch->now_us,
                    node->actions);
@@ -296,12 +296,12 @@
     case EVENT_APPEND_REFUSED:
       if (sch->log_down && !node->disconnected)
         {
-          clm_log_out (node->clm, now_us);
+          clm_log_unavailable (node->clm, now_us);
         }
       clm_append_refused (node->clm, event->id, now_us, node->actions);
       break;
     case EVENT_APPEND_LOST:
-      clm_append_lost (node->clm, event->id, now_us, node->actions);
+      clm_append_unknown (node->clm, event->id, now_us, node->actions);
       break;
     case EVENT_CALL_SEND:
       send_call (sch, event);
@@ -401,14 +401,14 @@
     }
   else if (sch->log_down && !node->disconnected)
     {
-      clm_log_out (node->clm, sch->now_us);
+      clm_log_unavailable (node->clm, sch->now_us);
     }
   bool peers = false;
   for (uint32_t i = 0; i < sch->node_count; i++)
     {
       peers = peers || (i != index && reaches_log (sch, &sch->nodes[i]));
     }
-  clm_peers_reach_log (node->clm, peers, sch->now_us);
+  clm_set_peers_reach_log (node->clm, peers, sch->now_us);
   clm_tick (node->clm, sch->now_us, node->actions);
   take_actions (sch, index);
 }
--- a/test/shared_load_test.c
+++ b/test/shared_load_test.c
@@ -30,7 +30,7 @@
         {
           ld_step_done (load, i % 2 == 0 ? STEP_SHORT_US : STEP_LONG_US, i);
         }
-      (void)ld_silence_bound_us (load);
+      (void)ld_step_timeout_us (load);
       (void)ld_standing (load, i);
       ld_stream_removed (load);
     }
--- a/test/stages_test.c
+++ b/test/stages_test.c
@@ -16,7 +16,7 @@
 
 /* A model of 80 layers of 1,750 MB each and its engines, with the figures of
    the users' sites. */
-static const struct flt_engine spec = {
+static const struct flt_engine_spec spec = {
   .slots = 192,
   .cache_tokens_max = 100000,
   .cache_token_bytes = 426000,
@@ -48,7 +48,7 @@
 
 struct fleet
 {
-  struct stp_card engines[ENGINES_MAX];
+  struct stp_engine engines[ENGINES_MAX];
   uint32_t count;
   uint32_t zones;
 };
@@ -60,7 +60,7 @@
 {
   for (uint32_t i = 0; i < count; i++)
     {
-      fleet->engines[fleet->count++] = (struct stp_card){
+      fleet->engines[fleet->count++] = (struct stp_engine){
         .zone = zone,
         .memory_mb = kind->memory_mb,
         .step_factor = kind->step_factor,
@@ -256,11 +256,11 @@
         }
       uint32_t new_engine = after.count++;
       after.engines[new_engine]
-          = (struct stp_card){ .zone = 0,
-                               .memory_mb = l4.memory_mb,
-                               .step_factor = l4.step_factor,
-                               .movable = true,
-                               .in_reserve = rows[i].in_reserve };
+          = (struct stp_engine){ .zone = 0,
+                                 .memory_mb = l4.memory_mb,
+                                 .step_factor = l4.step_factor,
+                                 .movable = true,
+                                 .in_reserve = rows[i].in_reserve };
       stp_plan (&spec, STP_DIVIDE_ANEW, 2, after.engines, after.count, next);
       assert_int_equal (next[new_engine].end > next[new_engine].first,
                         rows[i].gets_layers);
@@ -312,7 +312,7 @@
   double smallest = INFINITY;
   for (uint32_t i = 0; i < fleet->count; i++)
     {
-      const struct stp_card *engine = &fleet->engines[i];
+      const struct stp_engine *engine = &fleet->engines[i];
       if (engine->zone == zone && engine->held.end > engine->held.first)
         {
           smallest
@@ -450,7 +450,7 @@
 struct path_row
 {
   const char *name;
-  struct pth_card engines[PATH_ENGINES_MAX];
+  struct pth_engine engines[PATH_ENGINES_MAX];
   uint32_t count;
   const char *expected;
 };
@@ -509,9 +509,10 @@
       bool found = pth_find (&costs, row->engines, row->count, &path);
       for (uint32_t part = 0; found && part < path.count; part++)
         {
-          g_string_append_printf (
-              text, "%s%u=%u-%u", part == 0 ? "" : ",", path.parts[part].card,
-              path.parts[part].layers.first, path.parts[part].layers.end);
+          g_string_append_printf (text, "%s%u=%u-%u", part == 0 ? "" : ",",
+                                  path.parts[part].engine,
+                                  path.parts[part].layers.first,
+                                  path.parts[part].layers.end);
         }
       if (found != (row->expected != NULL)
           || (found && strcmp (text->str, row->expected) != 0))
@@ -534,12 +535,12 @@
   uint32_t found = 0;
   for (uint32_t trial = 0; trial < 400; trial++)
     {
-      struct pth_card engines[40];
+      struct pth_engine engines[40];
       for (uint32_t i = 0; i < 40; i++)
         {
           uint32_t first = (uint32_t)g_rand_int_range (random, 0, LAYERS);
           uint32_t span = (uint32_t)g_rand_int_range (random, 1, 21);
-          engines[i] = (struct pth_card){
+          engines[i] = (struct pth_engine){
             .held = { first, MIN (first + span, LAYERS) },
             .zone = (uint32_t)g_rand_int_range (random, 0, 3),
             .usable = g_rand_int_range (random, 0, 10) > 0,
@@ -557,12 +558,12 @@
       for (uint32_t part = 0; part < path.count; part++)
         {
           const struct pth_part *at = &path.parts[part];
-          assert_false (used[at->card]);
-          used[at->card] = true;
-          assert_true (engines[at->card].usable);
+          assert_false (used[at->engine]);
+          used[at->engine] = true;
+          assert_true (engines[at->engine].usable);
           assert_int_equal (at->layers.first, next);
-          assert_true (at->layers.first >= engines[at->card].held.first);
-          assert_true (at->layers.end <= engines[at->card].held.end);
+          assert_true (at->layers.first >= engines[at->engine].held.first);
+          assert_true (at->layers.end <= engines[at->engine].held.end);
           assert_true (at->layers.end > at->layers.first);
           next = at->layers.end;
         }
