--- a/bench/routing.c
+++ b/bench/routing.c
@@ -205,9 +205,9 @@
   return best;
 }
 
-/* Builds CHAIN stage by stage by the baseline policy.  All ranges that begin
-   at one layer also end at one layer: the placement's boundaries are common.
- */
+/* Builds CHAIN stage by stage by the baseline policy.  Ranges that begin at
+   the same layer also end at the same layer, as the placement's boundaries are
+   common.  */
 static void
 choose_by_baseline (struct simulation *simulation, uint32_t daemon,
                     struct rt_chain *chain)
