--- a/src/config/file.c
+++ b/src/config/file.c
@@ -18,8 +18,8 @@
   FILE *file = fopen (path, "rbe");
   if (file == NULL)
     {
-      g_set_error (error, ERR_DOMAIN, ERR_SETTINGS,
-                   "%s:1: cannot open the file: %s", path, g_strerror (errno));
+      g_set_error (error, ERR_DOMAIN, ERR_SETTINGS, "%s:1: the file: %s", path,
+                   g_strerror (errno));
       return false;
     }
   GString *content = g_string_new (NULL);
@@ -35,8 +35,8 @@
   if (failed || content->len > bytes_max)
     {
       g_set_error (error, ERR_DOMAIN, ERR_SETTINGS,
-                   failed ? "%s:1: cannot read the file"
-                          : "%s:1: file too long; allowed: up to %zu "
+                   failed ? "%s:1: the file: cannot be read"
+                          : "%s:1: the file: too long; allowed: up to %zu "
                             "bytes",
                    path, bytes_max);
       g_string_free (content, TRUE);
