--- a/src/entry/entry_metrics.c
+++ b/src/entry/entry_metrics.c
@@ -85,7 +85,8 @@
   return metrics;
 }
 
-/* Counts an answer with the HTTP status STATUS.  */
+/* Counts an answer with the HTTP status STATUS; every status below 400 counts
+   as 2xx.  */
 void
 emt_count_answer (struct emt_metrics *metrics, uint32_t status)
 {
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -7,27 +7,29 @@
 struct emt_metrics
 {
   struct cnt_series *requests;
-  struct cnt_series *answers_2xx;
+  struct cnt_series *answers_2xx; /* status below 400 */
   struct cnt_series *answers_4xx;
   struct cnt_series *answers_5xx;
   struct cnt_series *refused; /* answered 503 by the daemon itself: not run */
-  struct cnt_series *outcome_unknown; /* answered 502 or 504 by the daemon
-                                         itself: may have run */
-  struct cnt_series *aborted;         /* answers begun and not finished */
-  struct cnt_series *callers_disconnected;
-  struct cnt_series *attempts; /* requests sent to endpoints */
-  struct cnt_series *retries;
+  struct cnt_series *outcome_unknown;      /* answered 502 or 504 by the daemon
+                                              itself: may have run */
+  struct cnt_series *aborted;              /* answers begun and not finished */
+  struct cnt_series *callers_disconnected; /* before the end of the answer;
+                                              not counted in `aborted' */
+  struct cnt_series *attempts;             /* requests sent to endpoints */
+  struct cnt_series *retries; /* repeats taken from the retry budget */
   struct cnt_series *resumed; /* streams continued by another endpoint */
   struct cnt_series *retries_denied; /* by the retry budget */
   struct cnt_series *events;
   struct cnt_series *in_progress;
   struct cnt_series *config_version;
-  struct cnt_series *endpoints;
+  struct cnt_series *endpoints; /* in the view in force */
   struct cnt_series *connections_opened;
   struct cnt_series *log_dropped;     /* log lines over the rate limit */
   struct cnt_series *proof_age_ms;    /* age of the newest proof that the
                                          configuration is current */
-  struct cnt_series *first_byte_time; /* histogram */
+  struct cnt_series *first_byte_time; /* histogram; this and the next one: from
+                                         the complete arrival of the request */
   struct cnt_series *total_time;      /* histogram */
 };
 
--- a/src/entry/fleet_control.c
+++ b/src/entry/fleet_control.c
@@ -41,7 +41,7 @@
 #define CONNECT_TIMEOUT_US (800 * CLK_MS_US)
 #define IDLE_MAX_US (8 * CLK_S_US)
 #define IDLE_MARGIN_US (1 * CLK_S_US)
-#define SILENCE_MS 1500
+#define USER_TIMEOUT_MS 1500
 #define IDLE_CONNECTIONS_MAX 2
 
 struct fct_control
@@ -400,7 +400,7 @@
     .idle_max_us = IDLE_MAX_US,
     .idle_margin_us = IDLE_MARGIN_US,
     .connect_timeout_us = CONNECT_TIMEOUT_US,
-    .user_timeout_ms = SILENCE_MS,
+    .user_timeout_ms = USER_TIMEOUT_MS,
     .idle_connections_max = IDLE_CONNECTIONS_MAX,
   };
   control->settings = settings;
--- a/src/entry/fleet_view.c
+++ b/src/entry/fleet_view.c
@@ -4,9 +4,10 @@
 
 struct fvw_store
 {
-  struct fvw_view
-      *current; /* read with rcu_dereference; NULL before the first */
-  _Atomic int64_t proved_us; /* newest proof; 0: none yet */
+  struct fvw_view *current; /* read with rcu_dereference; NULL before the first
+                                fvw_publish */
+  _Atomic int64_t proved_us; /* monotonic time of the newest proof; 0: none
+                                yet */
 };
 
 /* Creates a store without a view.  */
@@ -37,8 +38,8 @@
   return view;
 }
 
-/* Releases a reference to VIEW, which may be NULL; the last one frees it.
-   Thread-safe.  */
+/* Releases a reference to VIEW, which may be NULL.  Frees VIEW when no
+   reference is left.  Thread-safe.  */
 void
 fvw_release (struct fvw_view *view)
 {
@@ -78,10 +79,12 @@
     }
 }
 
-/* Returns a reference to the view in force.  Returns NULL if that is KNOWN, to
-   which the caller has a reference, or if there is none yet.  Sets PROVED_US
-   to a moment at which the configuration of the returned view, or of KNOWN,
-   was the newest.  The calling thread must be registered with liburcu.  */
+/* Returns a reference to the view in force, or NULL if that view is KNOWN or
+   if there is none yet.  KNOWN is the view that the caller uses, or NULL; the
+   caller must hold a reference to it, so that no newer view can have its
+   address.  Sets PROVED_US to the newest proof, 0 if there is none yet: at
+   that time, no configuration newer than that of the returned view, or of
+   KNOWN, existed.  The calling thread must be registered with liburcu.  */
 struct fvw_view *
 fvw_acquire_newer (struct fvw_store *store, const struct fvw_view *known,
                    int64_t *proved_us)
@@ -115,8 +118,9 @@
     }
 }
 
-/* Returns the newest moment that was set with fvw_set_proved, or 0.  For logs
-   and metrics only: a view that was acquired earlier may be older.  */
+/* Returns the time of the newest proof, or 0 if there is none yet.  For logs
+   and metrics only: the proof may belong to a newer view than the one that the
+   calling thread has acquired.  */
 int64_t
 fvw_proved_us (struct fvw_store *store)
 {
--- a/src/entry/fleet_view.h
+++ b/src/entry/fleet_view.h
@@ -1,7 +1,7 @@
 /* Views of the fleet: the configuration and the list of endpoints, published
    by the control thread to the traffic thread with liburcu.  A view is
-   immutable and reference-counted.  A proof is a moment at which the
-   configuration of a view was known to be the newest. */
+   immutable and reference-counted.  A proof is a moment, in monotonic
+   time, at which the configuration of a view was known to be the newest. */
 #ifndef ENTRY_FLEET_VIEW_H
 #define ENTRY_FLEET_VIEW_H
 
--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -22,7 +22,7 @@
 #define HEADER_TIMEOUT_US (3 * CLK_S_US)
 #define IDLE_TIMEOUT_US (15 * CLK_S_US)
 #define UNSENT_BYTES_MAX 1048576
-#define SILENCE_MS 3000
+#define USER_TIMEOUT_MS 3000
 #define CONNECTIONS_MAX 1024
 
 /* Interval at which time-outs are checked. */
@@ -286,7 +286,7 @@
     .header_timeout_us = HEADER_TIMEOUT_US,
     .idle_timeout_us = IDLE_TIMEOUT_US,
     .unsent_bytes_max = UNSENT_BYTES_MAX,
-    .user_timeout_ms = SILENCE_MS,
+    .user_timeout_ms = USER_TIMEOUT_MS,
     .connections_max = CONNECTIONS_MAX,
   };
   struct rly_relay *relay = g_new0 (struct rly_relay, 1);
--- a/src/entry/traffic.c
+++ b/src/entry/traffic.c
@@ -15,31 +15,34 @@
    arrived meanwhile is read first. */
 #define PROCESS_PAUSE_US (1 * CLK_S_US)
 
-/* Limits of the connections to endpoints. */
+/* Limits of the connections to endpoints, see struct ncl_params. */
 #define CONNECT_TIMEOUT_US (400 * CLK_MS_US)
 #define IDLE_MAX_US (10 * CLK_S_US)
 #define IDLE_MARGIN_US (1 * CLK_S_US)
-#define SILENCE_MS 1500
+#define USER_TIMEOUT_MS 1500
 #define IDLE_CONNECTIONS_MAX 96
 
-/* Limits of callers until the first configuration states them. */
+/* Limits of the callers' connections until the first configuration replaces
+   them. */
 #define HEADER_BYTES_MAX 16384
 #define BODY_BYTES_MAX 4194304
 #define HEADER_TIMEOUT_US (3 * CLK_S_US)
 #define IDLE_TIMEOUT_US (15 * CLK_S_US)
+
+/* Limits of the callers' connections that aren't configurable. */
 #define UNSENT_BYTES_MAX 131072
-#define CALLER_SILENCE_MS 5000
+#define CALLER_USER_TIMEOUT_MS 5000
 
-/* File descriptors for each connection of a caller: its own, and one for files
-   or connections to endpoints. */
+/* File descriptors reserved for each connection of a caller: one for the
+   connection, and one for a file or a connection to an endpoint. */
 #define DESCRIPTORS_PER_CALLER 2
 
-/* Idle connections of callers are closed this long after a stop began: the
-   load balancer has then seen two failed probes, one a second. */
+/* Idle connections of callers stay open for this long after a stop began.  The
+   load balancer probes once a second, so two probes have failed by then. */
 #define STOP_IDLE_US (2500 * CLK_MS_US)
 
 /* Added to the configuration's idle time-out, so that no connection is closed
-   early. */
+   before that time-out has passed. */
 #define CALLER_IDLE_MARGIN_US (500 * CLK_MS_US)
 
 static bool
@@ -85,7 +88,9 @@
   .drained = ignore_event,
 };
 
-/* Updates the gauges that are read only when the metrics are requested.  */
+/* Updates the gauges whose values are needed only when the metrics are
+   requested.  Before the first proof, the proof's age is the whole monotonic
+   time.  */
 static void
 update_gauges (struct trf_traffic *traffic)
 {
@@ -123,8 +128,8 @@
   .drained = ignore_event,
 };
 
-/* Returns the limits of callers in CONFIG, or the default ones when it is
-   NULL.  */
+/* Returns the limits of the callers' connections.  CONFIG replaces some of the
+   defaults unless it is NULL.  */
 static struct nsv_limits
 caller_limits (const struct trf_traffic *traffic,
                const struct flt_config *config)
@@ -135,7 +140,7 @@
     .header_timeout_us = HEADER_TIMEOUT_US,
     .idle_timeout_us = IDLE_TIMEOUT_US,
     .unsent_bytes_max = UNSENT_BYTES_MAX,
-    .user_timeout_ms = CALLER_SILENCE_MS,
+    .user_timeout_ms = CALLER_USER_TIMEOUT_MS,
     .connections_max = traffic->settings->descriptors / DESCRIPTORS_PER_CALLER,
   };
   if (config != NULL)
@@ -150,7 +155,8 @@
 }
 
 /* Applies the newest view that the control thread has published.  Returns the
-   time at which its configuration was known to be the newest; 0 if never.  */
+   monotonic time of the newest proof (entry/fleet_view.h), 0 if there is none
+   yet.  */
 int64_t
 trf_refresh (struct trf_traffic *traffic)
 {
@@ -186,7 +192,9 @@
     }
 }
 
-/* Closes connections whose time-outs have expired, and flushes the log.  */
+/* Closes connections whose time-outs have expired, removes expired stall
+   inquiries, logs a change of the readiness and flushes the log.  Does nothing
+   right after a pause of the process.  */
 static void
 on_sweep (uv_timer_t *timer)
 {
@@ -246,7 +254,7 @@
     .idle_max_us = IDLE_MAX_US,
     .idle_margin_us = IDLE_MARGIN_US,
     .connect_timeout_us = CONNECT_TIMEOUT_US,
-    .user_timeout_ms = SILENCE_MS,
+    .user_timeout_ms = USER_TIMEOUT_MS,
     .idle_connections_max = IDLE_CONNECTIONS_MAX,
   };
   const struct rbg_params budget = {
@@ -290,8 +298,9 @@
   uv_async_send (&traffic->view_changed);
 }
 
-/* Begins the stop: the daemon isn't ready any more, and connections of callers
-   close after their current request or when they have been idle. */
+/* Begins the stop: the daemon isn't ready any more.  Connections of callers
+   are closed after their current request; idle ones are closed
+   STOP_IDLE_US after the stop began. */
 void
 trf_stop (struct trf_traffic *traffic)
 {
@@ -317,8 +326,9 @@
            nsv_connection_count (traffic->caller_server));
 }
 
-/* Closes the servers and connections of TRAFFIC and frees what it refers to;
-   the loop must run once more afterwards.  */
+/* Closes the servers and connections of TRAFFIC and frees its tables, fleet
+   state and metrics.  TRAFFIC itself isn't freed; the loop must run once more
+   afterwards to close its handles.  */
 void
 trf_destroy (struct trf_traffic *traffic)
 {
--- a/src/entry/traffic.h
+++ b/src/entry/traffic.h
@@ -27,8 +27,8 @@
   struct frs_params freshness;
   uv_async_t view_changed; /* sent by trf_notify */
   uv_timer_t sweep;        /* for time-outs and the log */
-  int64_t last_sweep_us;
-  int64_t stopping_us; /* when the stop began; 0: not stopping */
+  int64_t last_sweep_us;   /* monotonic */
+  int64_t stopping_us; /* monotonic, when the stop began; 0: not stopping */
   bool ready_logged;
   double token_us; /* recent peak of a stream's time for each token that it may
                       generate; 0: none has ended yet */
