--- a/src/cli/options.h
+++ b/src/cli/options.h
@@ -5,7 +5,8 @@
 #include <argtable2.h>
 #include <stddef.h>
 
-/* Result of opt_parse; distinct from every exit code. */
+/* Result of opt_parse when the subcommand is to run.  Any other result is the
+   exit code with which the process is to end. */
 #define OPT_CONTINUE (-1)
 
 /* The command line of a subcommand, for the parser and for `--help'. */
--- a/src/config/error_list.c
+++ b/src/config/error_list.c
@@ -4,7 +4,8 @@
 
 #include <stdarg.h>
 
-/* Errors kept as text, so that a malicious file costs bounded memory. */
+/* Maximum number of errors kept as text.  Bounds the memory that a malicious
+   file with many errors costs. */
 #define MESSAGES_KEPT_MAX 200
 
 /* Adds the line `FILE_NAME:LINE: message' to ERRORS, with the message
--- a/src/config/error_list.h
+++ b/src/config/error_list.h
@@ -1,5 +1,5 @@
 /* Collects the errors found in one input file, as text of one line per error.
-   The amount of text is bounded, however many errors the file has. */
+   The number of lines is bounded, however many errors the file has. */
 #ifndef CONFIG_ERROR_LIST_H
 #define CONFIG_ERROR_LIST_H
 
--- a/src/config/parse.c
+++ b/src/config/parse.c
@@ -56,7 +56,8 @@
 }
 
 /* Adds errors for keys that host INDEX lacks although its role needs them, and
-   for keys that its role does not allow.  */
+   for keys that its role does not allow.  A value of 0 or "" counts as a
+   lacking key.  */
 static void
 check_host_role (const struct cfg_config *config, uint32_t index,
                  uint32_t line, struct cmp_list *errors)
@@ -108,9 +109,9 @@
     }
 }
 
-/* Checks what the schema cannot express: addresses of hosts and tokens of
-   accounts are unique, links are listed once, and the keys of a host fit its
-   role.  */
+/* Checks what the schema cannot express: addresses of hosts and hashes of
+   the accounts' tokens are unique, links are listed once, and the keys of a
+   host fit its role.  */
 static void
 check_consistency (const struct cfg_config *config, const struct yt_node *root,
                    struct cmp_list *errors)
@@ -183,10 +184,11 @@
   return config;
 }
 
-/* Parses the configuration in the YAML text TEXT of TEXT_BYTES.  Returns NULL
-   with ERR_CONFIG_INVALID when it is invalid, and adds one line for each error
-   to MESSAGES: `FILE_NAME:line: key: problem; allowed: ...'.  The caller frees
-   the result with cfg_config_destroy.  */
+/* Parses the configuration in the YAML text TEXT, TEXT_BYTES long.  Returns
+   NULL with ERR_CONFIG_INVALID when it is invalid, and adds one line for each
+   error to MESSAGES: `FILE_NAME:line: key: problem', for most errors followed
+   by `; allowed: ...'.  The caller frees the result with
+   cfg_config_destroy.  */
 struct cfg_config *
 cfg_parse (const char *file_name, const char *text, size_t text_bytes,
            GString *messages, GError **error)
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -12,7 +12,8 @@
 
 enum sch_type
 {
-  SCH_UNSIGNED, /* uint32_t, uint64_t or int64_t: value times `scale' */
+  SCH_UNSIGNED, /* not negative; uint32_t, uint64_t or int64_t: value
+                   times `scale' */
   SCH_FRACTION, /* double */
   SCH_BOOL,
   SCH_CHOICE,      /* enum: index in `choices' */
@@ -49,8 +50,8 @@
   size_t count_offset;            /* SCH_LIST: of the length, a uint32_t */
   enum sch_type type;
   bool required;
-  bool omit_zero; /* the key is not written when the value is zero */
-  bool secret;    /* the value is never shown in a message */
+  bool omit_zero; /* the key is not written when the value is 0 or false */
+  bool secret;    /* the value is never shown in an error message or diff */
 };
 
 /* A map and the struct that holds its values. */
--- a/src/daemon/control_burn.c
+++ b/src/daemon/control_burn.c
@@ -53,8 +53,9 @@
   ctl_post (control, observe_event, g_memdup2 (event, sizeof *event));
 }
 
-/* Appends the counts to the log when they are due; a daemon that is stopping
-   appends them at once.  Called periodically on the control thread.  */
+/* Requests an append of the new counts to the burn stream of the log, every
+   minute and, when the daemon is stopping, at once.  Called periodically on
+   the control thread.  */
 void
 ctl_burn_tick (struct ctl_control *control)
 {
@@ -63,7 +64,8 @@
   ctl_perform_actions (control);
 }
 
-/* Passes on the result of the append TOKEN that ctl_burn_tick requested.
+/* Passes on the result of the append that ctl_burn_tick requested and TOKEN
+   identifies.
    Called on the control thread.  */
 void
 ctl_burn_handle_append_result (struct ctl_control *control, uint64_t token,
@@ -100,8 +102,10 @@
   *offset = control->next_burn_offset;
 }
 
-/* Reads the records that daemons have appended since the last report, and
-   merges them.  */
+/* Reads the records that daemons have appended to the log since the last
+   report, and merges them; this daemon's own aren't counted again.  Stops
+   at the first error and after READ_PAGES_MAX pages; the next report continues
+   from there.  */
 static void
 read_records (struct ctl_control *control)
 {
@@ -141,9 +145,10 @@
 }
 
 /* Returns the report over all daemons, owned by the caller; an empty object
-   before the first configuration.  Other daemons' records are read from the
-   log only now, so that a daemon that is never asked for a report reads none.
-   Must not be called on the control thread.  */
+   before the first configuration.  If the log can't be read to its end, the
+   report covers the records read so far.  Other daemons' records are read from
+   the log only now, so that a daemon that is never asked for a report reads
+   none.  Must not be called on the control thread.  */
 json_t *
 ctl_burn_report (struct ctl_control *control)
 {
--- a/src/daemon/control_burn.h
+++ b/src/daemon/control_burn.h
@@ -13,7 +13,7 @@
 struct brn_event
 {
   char account[CFG_NAME_BYTES];
-  char endpoint[CFG_NAME_BYTES];
+  char endpoint[CFG_NAME_BYTES]; /* name of its host */
   enum brn_work work;
   enum err_kind error;
   int64_t first_token_us;
--- a/src/daemon/keyed.c
+++ b/src/daemon/keyed.c
@@ -75,8 +75,8 @@
   return state;
 }
 
-/* Returns a dispatched call to KC_WAITING, so that kc_wait waits for its
-   answer. Called before the call is sent.  */
+/* Sets the state of a dispatched CALL back to KC_WAITING, so that the next
+   kc_wait waits for the answer.  Called before the call is sent.  */
 void
 kc_rearm (struct kc_call *call)
 {
@@ -88,8 +88,8 @@
   pthread_mutex_unlock (&call->lock);
 }
 
-/* Marks CALL as dispatched, since its claim is held, and wakes the traffic
-   thread.  */
+/* Sets the state KC_DISPATCHED: this daemon holds the claim.  Wakes the
+   traffic thread, which then sends CALL.  */
 void
 kc_dispatch (struct kc_call *call)
 {
--- a/src/daemon/keyed.h
+++ b/src/daemon/keyed.h
@@ -1,6 +1,8 @@
 /* A call with an idempotency key, shared by the traffic thread that sends the
-   call and the control thread that holds the claims.  The traffic thread waits
-   with kc_wait; the control thread wakes it with kc_dispatch or kc_answer.
+   call and the control thread that manages the claims.  A claim, recorded in
+   the log, gives one daemon the right to send the call (core/claims.h).  The
+   traffic thread waits with kc_wait, first for the claim and then for the
+   answer; the control thread wakes it with kc_dispatch or kc_answer.
    All functions are thread-safe. */
 #ifndef DAEMON_KEYED_H
 #define DAEMON_KEYED_H
@@ -23,7 +25,8 @@
   uint64_t id; /* unique in this daemon */
   char *account;
   char *key;
-  uint64_t body_hash;   /* of all that repeats of the call must share */
+  uint64_t body_hash;   /* hash of all that must be equal in repeats of the
+                           call */
   pthread_mutex_t lock; /* protects STATE and ANSWER */
   pthread_cond_t state_cond;
   enum kc_state state;
--- a/src/endpoint/endpoint.h
+++ b/src/endpoint/endpoint.h
@@ -11,12 +11,12 @@
 
 struct ept_endpoint
 {
-  struct ld_load load;
-  char *host;    /* name */
-  char *address; /* IP:PORT */
+  struct ld_load load; /* load and health, as known to this daemon */
+  char *host;          /* name */
+  char *address;       /* IP:PORT */
   struct con_pool *pool;
-  int64_t polled_us;   /* monotonic time of the last poll of the load;
-                          control thread only */
+  int64_t polled_us;   /* monotonic time at which the endpoint was last asked
+                          for its load; control thread only */
   bool poll_in_flight; /* control thread only */
 };
 
--- a/src/peer/connection.c
+++ b/src/peer/connection.c
@@ -130,8 +130,9 @@
   g_free (connection);
 }
 
-/* Closes CONNECTION; data that hasn't been sent is discarded.  PROTOCOL_ERROR
-   is a static string that names the error of the other side, or NULL.  */
+/* Closes CONNECTION; data that hasn't been sent is not sent any more.
+   PROTOCOL_ERROR is a static string that names the peer's violation of the
+   protocol, or NULL.  */
 void
 pcn_close (struct pcn_connection *connection, const char *protocol_error)
 {
@@ -147,7 +148,8 @@
   connection->fd = -1;
 }
 
-/* Returns the number of bytes that are queued but not yet sent.  */
+/* Returns the number of bytes that were queued but not sent, also those that a
+   closed connection will not send.  */
 guint
 pcn_queued_bytes (const struct pcn_connection *connection)
 {
@@ -194,8 +196,9 @@
     }
 }
 
-/* Queues ENVELOPE behind the frames in OUT and sends what the socket accepts.
-   Also used during the handshake.  */
+/* Queues ENVELOPE behind the frames in OUT, and sends what the socket accepts
+   unless the socket is being watched for writability.  Also used during the
+   handshake.  */
 static void
 send_now (struct pcn_connection *connection, const Peer__Envelope *envelope)
 {
@@ -279,8 +282,8 @@
   send_now (connection, &envelope);
 }
 
-/* Opens CONNECTION: allows frames of full size and sends those that were
-   queued during the handshake.  */
+/* Opens CONNECTION: allows received frames of full size, and sends the frames
+   that pcn_send queued during the handshake.  */
 static void
 finish_handshake (struct pcn_connection *connection)
 {
@@ -298,7 +301,7 @@
 }
 
 /* Checks HELLO.  The listener answers with its own hello; the dialler verifies
-   the proof in HELLO and sends its own.  */
+   the proof in HELLO and sends its own proof.  */
 static void
 handle_hello (struct pcn_connection *connection, const Peer__Hello *hello)
 {
--- a/src/peer/connection.h
+++ b/src/peer/connection.h
@@ -53,7 +53,7 @@
                                listener's side */
   uint8_t nonce[HSK_NONCE_BYTES]; /* of this side */
   struct frm_reader *reader;
-  GByteArray *out;      /* frames to send */
+  GByteArray *out;      /* frames to send as soon as the socket accepts them */
   guint out_sent_bytes; /* bytes at the start of OUT that were sent */
   GByteArray *pending;  /* frames to send after the handshake */
   GSource *read_source;
@@ -61,9 +61,10 @@
   const char *protocol_error; /* why the connection was closed; NULL: not
                                  closed for an error of the other side */
   int64_t created_at_us;      /* this and the times below: monotonic */
-  int64_t last_sent_at_us;
+  int64_t last_sent_at_us;    /* when a frame was last added to OUT */
   int64_t last_received_at_us;
-  int64_t last_message_at_us; /* sent or received; heartbeats don't count */
+  int64_t last_message_at_us; /* last pcn_send or received message, without
+                                 handshake and heartbeats */
   uint64_t sent_bytes;
   uint64_t received_bytes;
 };
--- a/test/service_call_test.c
+++ b/test/service_call_test.c
@@ -1,4 +1,5 @@
-/* Tests calls of plain services with a real control thread. */
+/* Tests the look-up of an idempotency key, for calls of plain services (those
+   that don't run models), with a real control thread. */
 #include "daemon/service_call.h"
 
 #include <curl/curl.h>
@@ -8,8 +9,8 @@
 
 #include <cmocka.h>
 
-/* The parts of a daemon that cannot reach its log: nothing listens at the
-   address. */
+/* The parts of a daemon.  The daemon cannot reach the log, since nothing
+   listens at the log's address. */
 struct daemon_parts
 {
   struct set_settings settings;
@@ -59,9 +60,9 @@
   return 0;
 }
 
-/* Guards against the answer that a call was not run when another daemon may
-   have run it: a daemon that has not read the log does not know the key, and
-   so has to answer that it is unknown whether the call ran.  */
+/* A daemon that has not read the log does not know the idempotency key, though
+   another daemon may have run its call.  It has to answer that it is unknown
+   whether the call ran.  Guards against the wrong answer that it did not.  */
 static void
 unknown_key_without_log_may_have_run (void **state)
 {
--- a/test/shared_peer_test.c
+++ b/test/shared_peer_test.c
@@ -1,5 +1,7 @@
-/* Hubs on separate threads, each with a main loop of its own, send messages to
-   each other.  Guards against data races: hubs share only the log.  */
+/* Peer hubs (peer/hub.h) on separate threads, each with a main loop of its
+   own, send messages to each other.  The only mutable state that hubs share is
+   the diagnostic log.  In a build with the thread sanitizer, this test guards
+   against data races between hubs.  */
 #include "peer/hub.h"
 
 #include <pthread.h>
