--- a/src/daemon/control_orders.c
+++ b/src/daemon/control_orders.c
@@ -32,7 +32,8 @@
   uint64_t planned_version; /* of the configuration; 0: none */
   bool *planned_usable;     /* by host; see list_usable */
   uint32_t planned_hosts;   /* length of `planned_usable' */
-  /* Since when the usable hosts have differed from those; 0: no difference. */
+  /* Since when the usable hosts have differed from those; 0: no difference.
+     This and the times below are monotonic. */
   int64_t usable_changed_us;
   int64_t next_plan_check_us;
   int64_t next_order_us;
--- a/src/daemon/control_private.h
+++ b/src/daemon/control_private.h
@@ -43,12 +43,13 @@
   struct peer_hub *hub;
   struct mem_fleet *members;
   char **peer_candidates;   /* addresses of possible peers, NULL-terminated */
-  int64_t last_log_read_us; /* send time of the last read that succeeded */
+  int64_t last_log_read_us; /* monotonic send time of the last read that
+                               succeeded */
   bool leave_announced;     /* to the peers */
   struct ctl_orders *orders;
   bool view_outdated;         /* a new view has to be published */
-  int64_t next_fleet_tick_us; /* see FLEET_INTERVAL_US */
-  int64_t next_slow_tick_us;  /* see SLOW_INTERVAL_US */
+  int64_t next_fleet_tick_us; /* monotonic, see FLEET_INTERVAL_US */
+  int64_t next_slow_tick_us;  /* monotonic, see SLOW_INTERVAL_US */
   uint32_t ready_daemons;     /* this one included; at least 1 */
   /* Of the usable hosts, their ranges and the configuration's version, from
      which the capacity was computed. */
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -14,7 +14,7 @@
   struct cnt_series *streams;
   struct cnt_series *queued;
   struct cnt_series *stream_limit;
-  struct cnt_series *capacity;
+  struct cnt_series *capacity; /* tokens per second of the whole fleet */
   struct cnt_series *config_version;
   struct cnt_series *daemons_ready;
   struct cnt_series *ready;
--- a/src/entry/exchange_answer.c
+++ b/src/entry/exchange_answer.c
@@ -29,12 +29,12 @@
                      : *mean * (1 - AVERAGE_WEIGHT) + value * AVERAGE_WEIGHT;
 }
 
-/* Records a failure, with its PROOF, of the engine that the endpoint named as
-   failed, or else of the endpoint itself.  REASON goes into the log.  A
+/* Records a failure of the given KIND, of the engine that the endpoint named
+   as failed, or else of the endpoint itself.  REASON goes into the log.  A
    refusal of another engine counts as EVD_UNAVAILABLE, since it doesn't show
    whether that engine is alive.  */
 void
-exg_report_failure (struct exchange *exchange, enum evd_failure_kind proof,
+exg_report_failure (struct exchange *exchange, enum evd_failure_kind kind,
                     const char *reason)
 {
   struct fst_fleet *fleet = exchange->traffic->fleet;
@@ -46,14 +46,14 @@
           = service == FLT_NO_INDEX
                 ? NULL
                 : fst_find_address (fleet, service, exchange->failed_address);
-      if (proof == EVD_REFUSING && failed_endpoint != exchange->endpoint)
+      if (kind == EVD_REFUSING && failed_endpoint != exchange->endpoint)
         {
-          proof = EVD_UNAVAILABLE;
+          kind = EVD_UNAVAILABLE;
         }
     }
   if (failed_endpoint != NULL)
     {
-      fst_report_failure (fleet, failed_endpoint, proof, reason,
+      fst_report_failure (fleet, failed_endpoint, kind, reason,
                           clk_monotonic_us ());
     }
 }
--- a/src/entry/exchange_private.h
+++ b/src/entry/exchange_private.h
@@ -9,6 +9,7 @@
 /* Size of the buffer of a request id, with the final null character. */
 #define EXG_ID_BYTES 64
 
+/* Points in time are monotonic. */
 struct exchange
 {
   struct trf_traffic *traffic;
@@ -74,8 +75,8 @@
                            struct att_request *request);
 void exg_start_attempt (struct exchange *exchange, enum att_end before);
 void exg_end_attempt (struct exchange *exchange, enum att_end end);
-void exg_report_failure (struct exchange *exchange,
-                         enum evd_failure_kind proof, const char *reason);
+void exg_report_failure (struct exchange *exchange, enum evd_failure_kind kind,
+                         const char *reason);
 void exg_schedule_check (struct exchange *exchange);
 
 #endif
--- a/src/entry/group.c
+++ b/src/entry/group.c
@@ -29,8 +29,9 @@
   uv_timer_t timer;
   struct cal_call *call;
   struct pfs_membership membership;
-  int64_t renew_sent_us;
-  int64_t member_until_us;     /* the membership is certain until then */
+  int64_t renew_sent_us;       /* monotonic, newest renewal */
+  int64_t member_until_us;     /* the membership is certain until then,
+                                  monotonic */
   uint64_t refused_generation; /* newest whose orders were refused */
   bool was_leader;             /* as logged last */
 };
--- a/src/entry/inquiry.c
+++ b/src/entry/inquiry.c
@@ -23,7 +23,7 @@
   struct trf_traffic *traffic;
   struct fst_endpoint *engine; /* reference */
   struct cal_call *call;       /* NULL: none in progress */
-  int64_t sent_us;             /* newest request */
+  int64_t sent_us;             /* monotonic, newest request */
   int64_t interval_us;         /* before the next request */
 };
 
--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -44,8 +44,9 @@
   uint64_t floor;      /* removals at lower offsets aren't known */
   uint64_t end;        /* the topic was read up to this offset */
   uint64_t newest;     /* offset of the newest change */
-  int64_t proved_us;  /* nothing more was in the topic then; 0: not read yet */
-  GPtrArray *readers; /* struct reader; waiting requests */
+  int64_t proved_us;   /* monotonic; nothing more was in the topic then; 0: not
+                          read yet */
+  GPtrArray *readers;  /* struct reader; waiting requests */
 };
 
 /* A request of another daemon that waits for changes. */
@@ -53,8 +54,8 @@
 {
   struct mirror *mirror;
   struct nsv_connection *connection;
-  uint64_t from; /* first offset that it asks for */
-  int64_t arrived_us;
+  uint64_t from;      /* first offset that it asks for */
+  int64_t arrived_us; /* monotonic */
   uv_timer_t timer;
   bool finished; /* its timer is closing */
 };
--- a/src/entry/topic.c
+++ b/src/entry/topic.c
@@ -45,12 +45,13 @@
   bool in_snapshot; /* reading a snapshot */
   char *after_key;  /* last key of the previous page; NULL at first */
   uint64_t snapshot_end_offset; /* offset up to which the snapshot holds */
-  int64_t snapshot_sent_us;     /* when its first page was requested */
-  uint64_t next_offset;         /* offset to read from */
+  int64_t snapshot_sent_us; /* monotonic, when its first page was requested */
+  uint64_t next_offset;     /* offset to read from */
   uint32_t relay_count;
   uint32_t relay_index; /* index of the relay in use */
   bool uses_relay;
-  int64_t store_only_until_us; /* no relay is used before */
+  int64_t store_only_until_us; /* no relay is used before; this and the times
+                                  below: monotonic */
   int64_t sent_us;             /* newest call */
   int64_t last_success_us;
   bool failed;         /* the previous call failed */
--- a/src/entry/topic.h
+++ b/src/entry/topic.h
@@ -15,8 +15,8 @@
   void (*snapshot_begin) (void *context);
   void (*snapshot_end) (void *context, uint64_t end);
   void (*record) (void *context, const struct pfs_record *record);
-  /* All records that were in the topic at PROVED_US, up to the offset END,
-     have been passed to `record'. */
+  /* All records that were in the topic at the monotonic time PROVED_US, up to
+     the offset END, have been passed to `record'. */
   void (*current) (void *context, int64_t proved_us, uint64_t end);
   /* The topic can't be read, for the reason WHY; `current' ends the outage. */
   void (*outage) (void *context, const char *why);
