--- a/src/platform/host_list.h
+++ b/src/platform/host_list.h
@@ -1,6 +1,6 @@
 /* Client of the host list, which the platform, the system that provides the
    hosts and the log, serves over HTTP.  The list may lag behind the hosts'
-   actual state.  Its interface is described in docs/interfaces/log.md. */
+   actual state.  HTTP interface: docs/interfaces/log.md. */
 #ifndef PLATFORM_HOST_LIST_H
 #define PLATFORM_HOST_LIST_H
 
--- a/src/platform/log_client.h
+++ b/src/platform/log_client.h
@@ -1,5 +1,5 @@
 /* Client of the platform's append-only log, which consists of named streams of
-   records.  Its HTTP interface: docs/interfaces/log.md. */
+   records.  The log's HTTP interface: docs/interfaces/log.md. */
 #ifndef PLATFORM_LOG_CLIENT_H
 #define PLATFORM_LOG_CLIENT_H
 
