--- a/src/entry/relay.c
+++ b/src/entry/relay.c
@@ -22,7 +22,7 @@
 #define HEADER_TIMEOUT_US (3 * CLK_S_US)
 #define IDLE_TIMEOUT_US (15 * CLK_S_US)
 #define UNSENT_BYTES_MAX 1048576
-#define SILENCE_MS 3000
+#define USER_TIMEOUT_MS 3000
 #define CONNECTIONS_MAX 1024
 
 /* Interval at which time-outs are checked. */
@@ -44,8 +44,9 @@
   uint64_t floor;      /* removals at lower offsets aren't known */
   uint64_t end;        /* the topic was read up to this offset */
   uint64_t newest;     /* offset of the newest change */
-  int64_t proved_us;  /* nothing more was in the topic then; 0: not read yet */
-  GPtrArray *readers; /* struct reader; waiting requests */
+  int64_t proved_us;   /* monotonic; nothing more was in the topic then; 0: not
+                          read yet */
+  GPtrArray *readers;  /* struct reader; waiting requests */
 };
 
 /* A request of another daemon that waits for changes. */
@@ -53,8 +54,8 @@
 {
   struct mirror *mirror;
   struct nsv_connection *connection;
-  uint64_t from; /* first offset that it asks for */
-  int64_t arrived_us;
+  uint64_t from;      /* first offset that it asks for */
+  int64_t arrived_us; /* monotonic */
   uv_timer_t timer;
   bool finished; /* its timer is closing */
 };
@@ -286,7 +287,7 @@
     .header_timeout_us = HEADER_TIMEOUT_US,
     .idle_timeout_us = IDLE_TIMEOUT_US,
     .unsent_bytes_max = UNSENT_BYTES_MAX,
-    .user_timeout_ms = SILENCE_MS,
+    .user_timeout_ms = USER_TIMEOUT_MS,
     .connections_max = CONNECTIONS_MAX,
   };
   struct rly_relay *relay = g_new0 (struct rly_relay, 1);
