--- a/src/caller/caller.h
+++ b/src/caller/caller.h
@@ -21,7 +21,7 @@
   char name[CFG_NAME_BYTES];
 };
 
-/* A completion request, parsed from its body. */
+/* A draft: a completion request (chat or text), parsed from its body. */
 struct cal_draft
 {
   char model[CFG_NAME_BYTES];
--- a/src/caller/draft_body.c
+++ b/src/caller/draft_body.c
@@ -40,7 +40,7 @@
   return true;
 }
 
-/* Joins MESSAGES to one prompt, with one line `ROLE: CONTENT' for each.  */
+/* Joins MESSAGES to one prompt: `ROLE: CONTENT' and a newline for each.  */
 static bool
 join_messages (const json_t *messages, struct cal_draft *draft,
                struct err_failure *failure)
@@ -74,7 +74,8 @@
                : reject (failure, "messages: each needs role and content");
 }
 
-/* Reads the optional max_completion_tokens, or else the older max_tokens.  */
+/* Reads the optional max_completion_tokens, or the older max_tokens when the
+   former is absent.  A null leaves the count at 0.  */
 static bool
 read_max_tokens (const json_t *body, struct cal_draft *draft,
                  struct err_failure *failure)
--- a/src/net/client.c
+++ b/src/net/client.c
@@ -8,9 +8,9 @@
 
 #define READ_BYTES 65536 /* of one read from a socket */
 
-/* One connection and the exchange that it carries, if any.  Since there is at
-   most one at a time, the same struct is the exchange in the public interface
-   and is called the connection in this file. */
+/* One connection and the exchange that it carries, if any.  Since a connection
+   carries at most one exchange at a time, the same struct is the exchange in
+   the public interface and is called the connection in this file. */
 struct ncl_exchange
 {
   uv_tcp_t tcp;
@@ -276,8 +276,9 @@
     }
 }
 
-/* Handles the end of the connection, an error when RESET.  A response without
-   a length ends with its connection.  */
+/* Handles the end of the connection: a read error when RESET, else a regular
+   close by the server.  The latter completes a response without a length; any
+   other open response fails.  */
 static void
 handle_end (struct ncl_exchange *connection, bool reset)
 {
@@ -424,7 +425,8 @@
 }
 
 /* Removes the idle connection to ADDRESS that was used last from the pool and
-   returns it, or NULL when there is none.  Closes those that have expired.  */
+   returns it, or NULL when there is none.  Closes the expired connections that
+   it meets on the way; ncl_expire closes the others.  */
 static struct ncl_exchange *
 take_idle (struct ncl_client *client, const char *address)
 {
