--- a/bench/admission.c
+++ b/bench/admission.c
@@ -1,6 +1,8 @@
 /* Measures the time and memory of admission at the largest size: one daemon of
-   340 with 2,200 active accounts, under three times its share of the load.
-   Prints lines `name value unit target'.
+   a fleet of 340, whose configuration has 2,200 accounts.  The time is taken
+   under three times the daemon's share of the load, the memory before the
+   first request.  Prints lines `name value unit target'; a target of `-' is
+   none, and a unit of 1 a ratio.
 
      build/release/bench/admission [--seed N]  */
 
--- a/soak/injector.c
+++ b/soak/injector.c
@@ -21,8 +21,8 @@
 #define DRAIN_EXTRA_US (700 * CLK_MS_US)
 #define DRAIN_BOUND_US (1000 * CLK_MS_US)
 
-/* Upper limits (exclusive) of the record_index of requests that an endpoint's
-   fault affects, and of the delay of a slow connection. */
+/* Upper limits (exclusive) of the number of requests that an endpoint's fault
+   affects, and of the delay of a slow connection. */
 #define FAULTY_REQUESTS_MAX 12
 #define DELAY_MAX_MS 400
 
--- a/soak/injector.h
+++ b/soak/injector.h
@@ -1,6 +1,6 @@
-/* Injects disruptions drawn from a seed into a soak: planned work, during
-   which the daemons must keep their time limits, and faults, which the record
-   notes as such.  Several disruptions may be active at once. */
+/* Injects randomly drawn disruptions into a soak: planned work, during which
+   the daemons must keep their time limits, and faults, whose times are written
+   to the record.  Several disruptions may be active at once. */
 #ifndef SOAK_INJECTOR_H
 #define SOAK_INJECTOR_H
 
--- a/soak/proxy.h
+++ b/soak/proxy.h
@@ -1,5 +1,5 @@
 /* A TCP proxy on loopback that delays, holds back or resets its connections on
-   demand. */
+   demand.  What is held back is forwarded once the mode allows it again. */
 #ifndef SOAK_PROXY_H
 #define SOAK_PROXY_H
 
