--- a/standin/engine.h
+++ b/standin/engine.h
@@ -37,7 +37,7 @@
   bool fencing_checked;        /* rejects orders with an old fencing number */
   const char *platform_url; /* of the weight store; NULL: loads without one */
   uint32_t kv_mib;          /* memory for KV state */
-  uint32_t report_lag_ms;   /* interval of the load report */
+  uint32_t report_lag_ms;   /* interval of the load report; at least 10 */
   uint32_t layer_load_ms;   /* to load one layer */
   uint32_t cache_blocks;    /* of the prefix cache */
   uint32_t event_lag_ms;    /* of the cache events */
--- a/standin/engine_order.c
+++ b/standin/engine_order.c
@@ -1,4 +1,5 @@
-/* Orders to load and unload layer ranges, and the load report. */
+/* Orders to load and unload layer ranges or to keep just one (a role order),
+   and the load report. */
 #include "standin/engine_private.h"
 
 #include "base/clock.h"
@@ -176,7 +177,7 @@
 }
 
 /* Waits at most WAIT_MS for a queued load or the stop of the engine.  The lock
-   is held.  */
+   is held, but released during the wait.  */
 static void
 wait_for_control (struct fe_engine *engine, int64_t wait_ms)
 {
@@ -196,8 +197,9 @@
   fe_render_report (engine, engine->report);
 }
 
-/* Waits DELAY_MS or until the engine stops, and refreshes the load report at
-   its interval.  The lock is held.  */
+/* Waits DELAY_MS or until the engine stops.  Refreshes the load report at its
+   interval and whenever a load is queued.  The lock is held, but released
+   during the waits.  */
 static void
 wait_and_refresh (struct fe_engine *engine, int64_t delay_ms)
 {
@@ -218,7 +220,8 @@
 
 /* Loads the first queued range, or waits for the retry when its weights can't
    be fetched.  A range that an order removes meanwhile is not loaded.  The
-   lock is held, except while the weights are fetched.  */
+   lock is held, but released while the weights are fetched and during the
+   waits.  */
 static void
 load_first_queued (struct fe_engine *engine)
 {
--- a/standin/fleet.h
+++ b/standin/fleet.h
@@ -1,6 +1,7 @@
 /* Simulates on loopback what an entry daemon depends on, for tests and soak
    runs: a store with the configuration and the endpoint list, engines that
-   run requests along a path of layers, and a plain service.  Faults can be
+   run requests along a path of layers, and plain services, which run a request
+   alone, without layers or a stream.  Faults can be
    injected into each of them.  Runs on the event loop of the calling thread
    and isn't thread-safe. */
 #ifndef STANDIN_FLEET_H
--- a/standin/fleet_endpoint.c
+++ b/standin/fleet_endpoint.c
@@ -11,7 +11,7 @@
 /* Duration of a call to a plain service. */
 #define SERVICE_CALL_MS 5
 
-/* Time until an engine closes the connection of a stalled request. */
+/* Time until an endpoint closes the connection of a stalled request. */
 #define STALL_MS 1500
 
 static void
@@ -64,8 +64,8 @@
 }
 
 /* Records a violation unless the path TEXT starts at ENDPOINT and covers every
-   layer once, in order.  Returns the address of the first engine that is dead
-   or doesn't hold its part of the path, allocated, or NULL.  */
+   layer once, in order.  Returns the address of the first engine that is
+   unknown, dead or doesn't hold its part of the path, allocated, or NULL.  */
 static char *
 check_path (struct sfl_endpoint *endpoint, const char *text)
 {
@@ -208,8 +208,9 @@
   finish_answer (answer);
 }
 
-/* Returns the fault for the next request to ENDPOINT and counts the request
-   off.  */
+/* Returns the fault to inject into a request that reached ENDPOINT, and
+   decrements the number of requests that still get it.  All engines share one
+   number, and so do all services.  */
 static enum sfl_fault
 take_fault (struct sfl_endpoint *endpoint)
 {
@@ -274,8 +275,10 @@
     }
 }
 
-/* Applies an order to hold a range of layers and publishes the endpoint.
-   Rejects an order whose fencing token is older than the last one.  */
+/* Applies an order to hold the layers `From' to `Target' (exclusive) and
+   publishes the endpoint.  Rejects an order whose fencing token is older than
+   the last one.  A range of more than half of the layers is a violation, but
+   is applied.  */
 static void
 apply_order (struct sfl_endpoint *endpoint, struct nsv_connection *connection,
              const struct msg_message *request)
@@ -331,7 +334,8 @@
 }
 
 /* Records a violation when a header that every request to an endpoint needs is
-   missing or wrong, or when the caller's API key was forwarded.  */
+   missing or wrong, when the test caller's own header X-Own wasn't forwarded,
+   or when the caller's API key was.  */
 static void
 check_request (struct sfl_endpoint *endpoint,
                const struct msg_message *request)
--- a/standin/fleet_group.c
+++ b/standin/fleet_group.c
@@ -18,7 +18,7 @@
   g_free (member);
 }
 
-/* Creates the group of FLEET without members.  */
+/* Creates the group of FLEET, which has no members yet.  */
 void
 sfl_group_open (struct sfl_fleet *fleet)
 {
@@ -112,7 +112,8 @@
 }
 
 /* Applies a join request, or a leave request when LEAVES is true.  Answers
-   CONNECTION with the generation and with the member's partitions.  */
+   CONNECTION with the generation and with the member's partitions: none after
+   a leave, or when the request names no member.  */
 void
 sfl_group_serve (struct sfl_fleet *fleet, struct nsv_connection *connection,
                  const struct msg_message *request, bool leaves)
@@ -150,8 +151,8 @@
   g_string_free (body, TRUE);
 }
 
-/* Reassigns the partitions so that the first one moves to another member, if
-   there is one.  Starts a new generation.  */
+/* Starts a new generation.  When the group has several members, the first
+   partition moves to another member.  */
 void
 sfl_rebalance (struct sfl_fleet *fleet)
 {
--- a/standin/host_list.h
+++ b/standin/host_list.h
@@ -15,7 +15,7 @@
   const char *name;
   const char *address; /* NULL: unchanged; empty for a new host */
   const char *role;    /* NULL: unchanged; `engine' for a new host */
-  bool leaving;
+  bool leaving;        /* listed as `leaving' instead of `live' */
 };
 
 struct hl_list *hl_create (int64_t lag_us);
--- a/standin/journal.c
+++ b/standin/journal.c
@@ -56,9 +56,9 @@
 }
 
 /* Appends the line `{"t": T, "event": EVENT, ...}' and flushes the file.  T is
-   the monotonic time in microseconds and never falls from one line to the
-   next.  FORMAT formats further members and starts with a comma, or is empty.
-   Does nothing when JOURNAL is NULL.  Thread-safe.  */
+   the monotonic time in microseconds and never falls from one line of this
+   process to the next.  FORMAT formats further members and starts with a
+   comma, or is empty.  Does nothing when JOURNAL is NULL.  Thread-safe.  */
 void
 jn_write (struct jn_journal *journal, const char *event, const char *format,
           ...)
--- a/standin/load_draft.c
+++ b/standin/load_draft.c
@@ -1,4 +1,5 @@
-/* Drafts: random prompts, and streamed answers checked against the model. */
+/* Drafts (chat completions): sends random prompts and checks the streamed
+   answers against those that the model of standin/model.h gives. */
 #include "standin/load_private.h"
 
 #include "base/clock.h"
@@ -8,7 +9,8 @@
 #include <jansson.h>
 #include <string.h>
 
-/* Shortest time from a draft that failed to the next one of a closed loop. */
+/* Shortest time from a draft without a whole answer to the next one of a
+   closed loop. */
 #define RETRY_MIN_US (100 * CLK_MS_US)
 
 #define EVENT_DATA_PREFIX "data: "
@@ -78,7 +80,7 @@
   lt_call_send (call, "/v1/chat/completions");
 }
 
-/* Records the TEXT of one token and the time at which it arrived.  */
+/* Records TEXT, which counts as one token, and the time of its arrival.  */
 static void
 record_token (struct lt_call *call, const char *text)
 {
@@ -162,7 +164,8 @@
   return size * count;
 }
 
-/* Returns how CALL ended, by comparing its answer with the model's.  */
+/* Returns how CALL ended.  With status 200, compares the answer with the
+   model's.  */
 static enum lt_outcome
 classify_draft (const struct lt_call *call, CURLcode result)
 {
@@ -200,7 +203,8 @@
 }
 
 /* Counts a draft that ended with OUTCOME at NOW_US.  Latencies count only for
-   drafts that were sent in the measured time and got a token.  */
+   drafts that were sent after the warm-up and got a token; the latency of the
+   account only for whole answers.  */
 static void
 count_draft (struct lt_call *call, enum lt_outcome outcome, int64_t now_us)
 {
--- a/standin/load_private.h
+++ b/standin/load_private.h
@@ -18,7 +18,7 @@
 /* The types of call. */
 enum lt_type
 {
-  LT_DRAFT,   /* a streamed answer of the model */
+  LT_DRAFT,   /* a chat completion, answered as a stream */
   LT_BOOKING, /* a call with an idempotency key */
   LT_LOOKUP   /* a GET request without a key */
 };
