--- a/src/net/call.c
+++ b/src/net/call.c
@@ -108,8 +108,8 @@
 
 /* Sends the request that PARAMS describe.  `done' receives the result from the
    event loop, never before cal_send returns.  The call must not be used once
-   `done' has been called.  Of PARAMS, only the client, the loop and the context
-   must outlive the call.  */
+   `done' has been called.  Of PARAMS, only the client, the loop and the
+   context must outlive the call.  */
 struct cal_call *
 cal_send (const struct cal_params *params)
 {
