--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -44,10 +44,10 @@
   double step_per_context_ms; /* added for each 1,000 tokens of context */
   double prefill_tokens_per_s;
   uint32_t layers;
-  double layer_mb;         /* memory for the weights of one layer */
-  double activation_bytes; /* of one token, between two parts of a path */
-  double zone_link_mbps;   /* between two data centres */
-  double load_s;           /* time to load all layers */
+  double layer_mb;              /* memory for the weights of one layer */
+  double activation_bytes;      /* of one token, between two parts of a path */
+  double data_centre_link_mbps; /* between two data centres */
+  double load_s;                /* time to load all layers */
   double usual_prompt_tokens;
   double usual_answer_tokens;
   struct flt_kind kinds[FLT_KINDS_MAX];
--- a/src/core/path.c
+++ b/src/core/path.c
@@ -25,11 +25,11 @@
   uint32_t *first_steps; /* by layer; the number of steps at the end */
   /* Step of each engine at the previous layer, or NO_STEP. */
   uint32_t *step_by_engine;
-  uint32_t zone_count; /* data centres */
+  uint32_t data_centre_count;
   /* Cheapest step of the previous layer, of all and by data centre, or
      NO_STEP. */
   uint32_t cheapest;
-  uint32_t *cheapest_by_zone;
+  uint32_t *cheapest_by_data_centre;
 };
 
 /* Returns the layers that ENGINE can run of a model with LAYERS layers; an
@@ -58,8 +58,8 @@
         {
           search->first_steps[layer + 1]++;
         }
-      search->zone_count
-          = MAX (search->zone_count, search->engines[i].zone + 1);
+      search->data_centre_count = MAX (search->data_centre_count,
+                                       search->engines[i].data_centre + 1);
     }
   for (uint32_t layer = 0; layer < layers; layer++)
     {
@@ -102,9 +102,10 @@
       search->step_by_engine[search->steps[i].engine] = NO_STEP;
     }
   search->cheapest = NO_STEP;
-  for (uint32_t zone = 0; zone < search->zone_count; zone++)
+  for (uint32_t data_centre = 0; data_centre < search->data_centre_count;
+       data_centre++)
     {
-      search->cheapest_by_zone[zone] = NO_STEP;
+      search->cheapest_by_data_centre[data_centre] = NO_STEP;
     }
   for (uint32_t i = search->first_steps[layer];
        i < search->first_steps[layer + 1]; i++)
@@ -116,7 +117,8 @@
           keep_cheaper (search, i, &search->cheapest);
           keep_cheaper (
               search, i,
-              &search->cheapest_by_zone[search->engines[step->engine].zone]);
+              &search->cheapest_by_data_centre[search->engines[step->engine]
+                                                   .data_centre]);
         }
     }
 }
@@ -156,9 +158,10 @@
       else
         {
           relax (search, search->step_by_engine[step->engine], 0, step);
-          relax (search, search->cheapest_by_zone[engine->zone],
+          relax (search, search->cheapest_by_data_centre[engine->data_centre],
                  search->costs->hop_ms, step);
-          relax (search, search->cheapest, search->costs->zone_hop_ms, step);
+          relax (search, search->cheapest, search->costs->data_centre_hop_ms,
+                 step);
         }
       step->cost_ms += engine->layer_ms;
     }
@@ -230,7 +233,7 @@
     .step_by_engine = g_new (uint32_t, engine_count),
   };
   make_steps (&search);
-  search.cheapest_by_zone = g_new (uint32_t, search.zone_count);
+  search.cheapest_by_data_centre = g_new (uint32_t, search.data_centre_count);
   for (uint32_t i = 0; i < engine_count; i++)
     {
       search.step_by_engine[i] = NO_STEP;
@@ -254,6 +257,6 @@
   g_free (search.steps);
   g_free (search.first_steps);
   g_free (search.step_by_engine);
-  g_free (search.cheapest_by_zone);
+  g_free (search.cheapest_by_data_centre);
   return found;
 }
--- a/src/core/path.h
+++ b/src/core/path.h
@@ -13,7 +13,7 @@
 struct pth_engine
 {
   struct rst_layers held;
-  uint32_t zone; /* index of its data centre */
+  uint32_t data_centre; /* index of its data centre */
   bool usable;
   double layer_ms; /* cost of running one layer for one token */
 };
@@ -21,9 +21,9 @@
 /* The model, and what it costs to pass a token on. */
 struct pth_costs
 {
-  uint32_t layers;    /* of the model */
-  double hop_ms;      /* to another engine of the same data centre */
-  double zone_hop_ms; /* to an engine of another data centre */
+  uint32_t layers;           /* of the model */
+  double hop_ms;             /* to another engine of the same data centre */
+  double data_centre_hop_ms; /* to an engine of another data centre */
 };
 
 /* Consecutive layers that one engine of a path runs. */
--- a/src/core/stage_plan.c
+++ b/src/core/stage_plan.c
@@ -430,7 +430,7 @@
   group->member_count = 0;
   for (uint32_t i = 0; i < engine_count; i++)
     {
-      if (in_group[group->engines[i].zone])
+      if (in_group[group->engines[i].data_centre])
         {
           group->members[group->member_count++] = i;
         }
@@ -448,14 +448,14 @@
 }
 
 /* Sets WANTED, by engine, to the layers that each of the ENGINE_COUNT engines
-   ENGINES in ZONE_COUNT data centres is to hold.  Each data centre with enough
-   memory forms a group that holds the complete model; the remaining data
-   centres form one more group together.  WANTED equals the layers held now
-   where nothing has to change.  Returns whether every layer has a holder in
-   each group.  */
+   ENGINES in DATA_CENTRE_COUNT data centres is to hold.  Each data centre with
+   enough memory forms a group that holds the complete model; the remaining
+   data centres form one more group together.  WANTED equals the layers held
+   now where nothing has to change.  Returns whether every layer has a holder
+   in each group.  */
 bool
 stp_plan (const struct flt_engine_spec *spec, enum stp_effort effort,
-          uint32_t zone_count, const struct stp_engine *engines,
+          uint32_t data_centre_count, const struct stp_engine *engines,
           uint32_t engine_count, struct rst_layers *wanted)
 {
   bool complete = true;
@@ -466,24 +466,25 @@
     .members = g_new (uint32_t, engine_count + 1),
     .holders = g_new0 (uint32_t, spec->layers),
   };
-  bool *in_group = g_new0 (bool, zone_count);
-  bool *in_remaining_group = g_new0 (bool, zone_count);
+  bool *in_group = g_new0 (bool, data_centre_count);
+  bool *in_remaining_group = g_new0 (bool, data_centre_count);
   for (uint32_t i = 0; i < engine_count; i++)
     {
       wanted[i] = engines[i].held;
     }
-  for (uint32_t zone = 0; zone < zone_count; zone++)
+  for (uint32_t data_centre = 0; data_centre < data_centre_count;
+       data_centre++)
     {
-      in_group[zone] = true;
+      in_group[data_centre] = true;
       collect_members (&group, engine_count, in_group);
-      in_group[zone] = false;
+      in_group[data_centre] = false;
       if (choose_cache (&group))
         {
           complete &= plan_group (&group, effort);
         }
       else
         {
-          in_remaining_group[zone] = true;
+          in_remaining_group[data_centre] = true;
         }
     }
   collect_members (&group, engine_count, in_remaining_group);
--- a/src/core/stage_plan.h
+++ b/src/core/stage_plan.h
@@ -13,7 +13,7 @@
 /* An engine as the planner sees it. */
 struct stp_engine
 {
-  uint32_t zone;          /* index of its data centre */
+  uint32_t data_centre;   /* index of its data centre */
   double memory_mb;       /* for layers and KV cache */
   double step_factor;     /* of its kind; lower is faster */
   struct rst_layers held; /* now, or after an order in progress */
@@ -29,7 +29,7 @@
 };
 
 bool stp_plan (const struct flt_engine_spec *spec, enum stp_effort effort,
-               uint32_t zone_count, const struct stp_engine *engines,
+               uint32_t data_centre_count, const struct stp_engine *engines,
                uint32_t engine_count, struct rst_layers *wanted);
 uint32_t stp_layers_max (const struct flt_engine_spec *spec, double memory_mb,
                          double cache_tokens);
--- a/src/entry/fleet_state.c
+++ b/src/entry/fleet_state.c
@@ -12,7 +12,7 @@
    the wait for the next engine's step: within a data centre, and between two
    of them. */
 #define HOP_MS 0.3
-#define ZONE_HOP_MS 12.0
+#define DATA_CENTRE_HOP_MS 12.0
 
 /* Multiplies the cost of an engine that failed lately, until successes clear
    its failures. */
@@ -24,7 +24,7 @@
 
 /* Number of path searches for each data centre, and the factor by which an
    engine's cost rises for the following searches once a path uses it. */
-#define PATHS_PER_ZONE 5
+#define PATHS_PER_DATA_CENTRE 5
 #define REUSE_FACTOR 3.0
 
 /* Weight of paths that begin in the daemon's own data centre, relative to 1
@@ -59,9 +59,9 @@
   struct vdt_verdicts *verdicts; /* read by the control thread */
   struct fvw_view *view;         /* in force; NULL before the first */
   GHashTable *endpoints;         /* id to struct fst_endpoint */
-  GPtrArray *ordered;   /* the same endpoints, in the order of the view */
-  GPtrArray *zones;     /* names of data centres, allocated */
-  GHashTable *services; /* name to struct service_state */
+  GPtrArray *ordered;      /* the same endpoints, in the order of the view */
+  GPtrArray *data_centres; /* names, allocated; endpoints hold the index */
+  GHashTable *services;    /* name to struct service_state */
 };
 
 static void
@@ -89,7 +89,7 @@
   fleet->endpoints = g_hash_table_new_full (g_str_hash, g_str_equal, NULL,
                                             (GDestroyNotify)fst_release);
   fleet->ordered = g_ptr_array_new ();
-  fleet->zones = g_ptr_array_new_with_free_func (g_free);
+  fleet->data_centres = g_ptr_array_new_with_free_func (g_free);
   fleet->services = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                            destroy_service);
   return fleet;
@@ -103,7 +103,7 @@
   g_hash_table_destroy (fleet->services);
   g_hash_table_destroy (fleet->endpoints);
   g_ptr_array_free (fleet->ordered, TRUE);
-  g_ptr_array_free (fleet->zones, TRUE);
+  g_ptr_array_free (fleet->data_centres, TRUE);
   g_free (fleet->data_centre);
   g_free (fleet);
 }
@@ -181,17 +181,17 @@
 
 /* Returns the index of the data centre NAME, which is added if it is new.  */
 static uint32_t
-zone_index (struct fst_fleet *fleet, const char *name)
+data_centre_index (struct fst_fleet *fleet, const char *name)
 {
-  for (guint i = 0; i < fleet->zones->len; i++)
+  for (guint i = 0; i < fleet->data_centres->len; i++)
     {
-      if (strcmp (g_ptr_array_index (fleet->zones, i), name) == 0)
+      if (strcmp (g_ptr_array_index (fleet->data_centres, i), name) == 0)
         {
           return i;
         }
     }
-  g_ptr_array_add (fleet->zones, g_strdup (name));
-  return fleet->zones->len - 1;
+  g_ptr_array_add (fleet->data_centres, g_strdup (name));
+  return fleet->data_centres->len - 1;
 }
 
 /* Updates ENDPOINT from ENTRY of the view and from the configuration of its
@@ -204,7 +204,7 @@
   endpoint->service = config == NULL
                           ? FLT_NO_INDEX
                           : flt_find_service (config, entry->service);
-  endpoint->zone = zone_index (fleet, entry->data_centre);
+  endpoint->data_centre = data_centre_index (fleet, entry->data_centre);
   endpoint->slots = entry->slots;
   endpoint->layers = entry->layers;
   endpoint->step_factor = 1;
@@ -374,7 +374,7 @@
   double share = MAX (fleet->view->share, SHARE_MIN);
   double slots = MAX (endpoint->slots, 1) * share;
   double load = (endpoint->evidence.in_flight + 1) / MAX (slots, 1);
-  double remote = endpoint->zone == home ? 0 : 0.15;
+  double remote = endpoint->data_centre == home ? 0 : 0.15;
   return (load + remote) * (1 + 8 * endpoint->evidence.failure_rate)
          * (1 + endpoint->evidence.latency_us / CLK_S_US);
 }
@@ -386,7 +386,7 @@
 cheapest_endpoint (struct fst_fleet *fleet, uint32_t service,
                    const GPtrArray *tried, bool last_resort, int64_t now_us)
 {
-  uint32_t home = zone_index (fleet, fleet->data_centre);
+  uint32_t home = data_centre_index (fleet, fleet->data_centre);
   struct fst_endpoint *best = NULL;
   double best_cost = INFINITY;
   for (guint i = 0; i < fleet->ordered->len; i++)
@@ -447,8 +447,8 @@
       cost_ms += layers * layer_cost (engine, part);
       if (i > 0)
         {
-          bool crosses = part->zone != path->parts[i - 1]->zone;
-          cost_ms += crosses ? ZONE_HOP_MS : HOP_MS;
+          bool crosses = part->data_centre != path->parts[i - 1]->data_centre;
+          cost_ms += crosses ? DATA_CENTRE_HOP_MS : HOP_MS;
         }
     }
   return cost_ms;
@@ -461,7 +461,8 @@
   uint32_t crossings = 0;
   for (uint32_t i = 1; i < path->count; i++)
     {
-      crossings += path->parts[i]->zone != path->parts[i - 1]->zone;
+      crossings
+          += path->parts[i]->data_centre != path->parts[i - 1]->data_centre;
     }
   return crossings;
 }
@@ -517,7 +518,7 @@
   const struct pth_costs costs = {
     .layers = engine->layers,
     .hop_ms = HOP_MS,
-    .zone_hop_ms = ZONE_HOP_MS,
+    .data_centre_hop_ms = DATA_CENTRE_HOP_MS,
   };
   struct pth_path found;
   if (!pth_find (&costs, cards, engines->len, &found))
@@ -631,7 +632,7 @@
                 || endpoint->evidence.state == EVD_PROBING;
   return (struct pth_engine){
     .held = endpoint->layers,
-    .zone = endpoint->zone,
+    .data_centre = endpoint->data_centre,
     .usable = usable || last_resort,
     .layer_ms = layer_cost (engine, endpoint),
   };
@@ -658,7 +659,7 @@
           g_ptr_array_add (engines, endpoint);
         }
     }
-  uint32_t searches = PATHS_PER_ZONE * fleet->zones->len;
+  uint32_t searches = PATHS_PER_DATA_CENTRE * fleet->data_centres->len;
   while (
       searches > 0
       && add_path (paths, engine, engines, (struct pth_engine *)cards->data))
@@ -735,7 +736,7 @@
     {
       find_paths (fleet, service, state, now_us);
     }
-  uint32_t home = zone_index (fleet, fleet->data_centre);
+  uint32_t home = data_centre_index (fleet, fleet->data_centre);
   struct fst_path *best = NULL;
   double best_cost = INFINITY;
   for (guint i = 0; i < state->paths->len; i++)
@@ -743,7 +744,7 @@
       struct fst_path *path = g_ptr_array_index (state->paths, i);
       double fill = path_fill (fleet, path, tokens);
       double overload = MAX (fill - FULL_FILL, 0);
-      double weight = (path->parts[0]->zone == home ? HOME_WEIGHT : 1)
+      double weight = (path->parts[0]->data_centre == home ? HOME_WEIGHT : 1)
                       * path->capacity_tokens / path->token_ms;
       double cost = path_load (path, tokens) * (1 + OVERLOAD_FACTOR * overload)
                     / weight;
--- a/src/entry/fleet_state.h
+++ b/src/entry/fleet_state.h
@@ -17,9 +17,9 @@
   guint references;
   char *id;
   char *address;
-  int64_t born_ms;  /* start of its incarnation */
-  uint32_t service; /* index in the configuration, or FLT_NO_INDEX */
-  uint32_t zone;    /* index of its data centre */
+  int64_t born_ms;      /* start of its incarnation */
+  uint32_t service;     /* index in the configuration, or FLT_NO_INDEX */
+  uint32_t data_centre; /* index of its data centre */
   uint32_t slots;
   double step_factor;  /* relative time of a step of its kind of accelerator */
   double cache_tokens; /* memory for requests, in tokens; 0: unknown */
--- a/src/entry/placing.c
+++ b/src/entry/placing.c
@@ -210,7 +210,7 @@
 
 /* Returns the index of the data centre NAME in NAMES; a new one is added.  */
 static uint32_t
-zone_index (GPtrArray *names, const char *name)
+data_centre_index (GPtrArray *names, const char *name)
 {
   for (guint i = 0; i < names->len; i++)
     {
@@ -252,14 +252,14 @@
 static struct stp_engine
 describe_engine (struct plc_placer *placer,
                  const struct flt_engine_spec *engine,
-                 const struct rst_endpoint *endpoint, GPtrArray *zones,
+                 const struct rst_endpoint *endpoint, GPtrArray *data_centres,
                  int64_t now_us)
 {
   const struct flt_kind *kind = flt_find_kind (engine, endpoint->kind);
   const struct order *order
       = g_hash_table_lookup (placer->orders, endpoint->id);
   return (struct stp_engine){
-    .zone = zone_index (zones, endpoint->data_centre),
+    .data_centre = data_centre_index (data_centres, endpoint->data_centre),
     .memory_mb = kind == NULL ? 0 : kind->memory_mb,
     .step_factor = kind == NULL ? 1 : kind->step_factor,
     .held = order == NULL ? endpoint->layers : order->layers,
@@ -384,15 +384,16 @@
 place_service (struct plc_placer *placer, const struct flt_service *service,
                const GPtrArray *endpoints, uint64_t fence, int64_t now_us)
 {
-  GPtrArray *zones = g_ptr_array_new ();
+  GPtrArray *data_centres = g_ptr_array_new ();
   GPtrArray *engines = find_engines (placer, service, endpoints);
-  GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct stp_engine));
+  GArray *planner_engines
+      = g_array_new (FALSE, FALSE, sizeof (struct stp_engine));
   for (guint i = 0; i < engines->len; i++)
     {
-      struct stp_engine card
-          = describe_engine (placer, &service->engine,
-                             g_ptr_array_index (engines, i), zones, now_us);
-      g_array_append_val (cards, card);
+      struct stp_engine planner_engine = describe_engine (
+          placer, &service->engine, g_ptr_array_index (engines, i),
+          data_centres, now_us);
+      g_array_append_val (planner_engines, planner_engine);
     }
   struct rst_layers *wanted = g_new0 (struct rst_layers, engines->len + 1);
   if (engines->len > 0)
@@ -401,26 +402,26 @@
                       || now_us - placer->gap_since_us < GAP_WAIT_US;
       bool complete = stp_plan (
           &service->engine, may_wait ? STP_SPARES : STP_DIVIDE_ANEW,
-          zones->len, (const struct stp_engine *)cards->data, cards->len,
-          wanted);
+          data_centres->len, (const struct stp_engine *)planner_engines->data,
+          planner_engines->len, wanted);
       update_gap (placer, complete, may_wait, now_us);
     }
   for (guint i = 0; i < engines->len; i++)
     {
-      const struct stp_engine *card
-          = &g_array_index (cards, struct stp_engine, i);
-      if (card->movable
-          && (wanted[i].first != card->held.first
-              || wanted[i].end != card->held.end))
+      const struct stp_engine *planner_engine
+          = &g_array_index (planner_engines, struct stp_engine, i);
+      if (planner_engine->movable
+          && (wanted[i].first != planner_engine->held.first
+              || wanted[i].end != planner_engine->held.end))
         {
           add_order (placer, g_ptr_array_index (engines, i), &wanted[i],
                      fence);
         }
     }
   g_free (wanted);
-  g_array_free (cards, TRUE);
+  g_array_free (planner_engines, TRUE);
   g_ptr_array_free (engines, TRUE);
-  g_ptr_array_free (zones, TRUE);
+  g_ptr_array_free (data_centres, TRUE);
 }
 
 /* True when an engine in ENDPOINTS holds layers.  */
--- a/test/stages_test.c
+++ b/test/stages_test.c
@@ -14,8 +14,8 @@
 #define LAYERS 80
 #define ENGINES_MAX 64
 
-/* A model of 80 layers of 1,750 MB each and its engines, with the figures of
-   the users' sites. */
+/* A model of 80 layers of 1,750 MB each, and what the engines that run it have
+   in common. */
 static const struct flt_engine_spec spec = {
   .slots = 192,
   .cache_tokens_max = 100000,
@@ -31,7 +31,7 @@
 struct kind
 {
   double memory_mb;
-  double step_factor;
+  double step_factor; /* duration of a step, relative; lower is faster */
 };
 
 static const struct kind a100s = { 36000, 3.1 };
@@ -39,7 +39,7 @@
 static const struct kind t4 = { 14400, 15 };
 
 /* Number of engines of each kind in one data centre. */
-struct zone_counts
+struct data_centre_counts
 {
   uint32_t a100s;
   uint32_t l4;
@@ -50,18 +50,19 @@
 {
   struct stp_engine engines[ENGINES_MAX];
   uint32_t count;
-  uint32_t zones;
+  uint32_t data_centre_count;
 };
 
-/* Adds COUNT movable engines of KIND in ZONE to FLEET, without layers.  */
+/* Adds COUNT movable engines of KIND in DATA_CENTRE to FLEET, without
+   layers.  */
 static void
-add_engines (struct fleet *fleet, uint32_t zone, const struct kind *kind,
-             uint32_t count)
+add_engines (struct fleet *fleet, uint32_t data_centre,
+             const struct kind *kind, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
     {
       fleet->engines[fleet->count++] = (struct stp_engine){
-        .zone = zone,
+        .data_centre = data_centre,
         .memory_mb = kind->memory_mb,
         .step_factor = kind->step_factor,
         .movable = true,
@@ -71,31 +72,32 @@
 
 /* Builds FLEET from the engines of COUNT data centres.  */
 static void
-build_fleet (struct fleet *fleet, const struct zone_counts *zones,
-             uint32_t count)
+build_fleet (struct fleet *fleet,
+             const struct data_centre_counts *data_centres, uint32_t count)
 {
-  *fleet = (struct fleet){ .zones = count };
-  for (uint32_t zone = 0; zone < count; zone++)
+  *fleet = (struct fleet){ .data_centre_count = count };
+  for (uint32_t data_centre = 0; data_centre < count; data_centre++)
     {
-      add_engines (fleet, zone, &a100s, zones[zone].a100s);
-      add_engines (fleet, zone, &l4, zones[zone].l4);
-      add_engines (fleet, zone, &t4, zones[zone].t4);
+      add_engines (fleet, data_centre, &a100s,
+                   data_centres[data_centre].a100s);
+      add_engines (fleet, data_centre, &l4, data_centres[data_centre].l4);
+      add_engines (fleet, data_centre, &t4, data_centres[data_centre].t4);
     }
 }
 
-/* Returns the smallest number of holders of a layer in ZONE, or in all data
-   centres if ZONE is UINT32_MAX.  */
+/* Returns the smallest number of holders of a layer in DATA_CENTRE, or in all
+   data centres if DATA_CENTRE is UINT32_MAX.  */
 static uint32_t
 fewest_holders (const struct fleet *fleet, const struct rst_layers *wanted,
-                uint32_t zone)
+                uint32_t data_centre)
 {
   uint32_t holders[LAYERS] = { 0 };
   for (uint32_t i = 0; i < fleet->count; i++)
     {
       for (uint32_t layer = wanted[i].first; layer < wanted[i].end; layer++)
         {
-          holders[layer]
-              += zone == UINT32_MAX || fleet->engines[i].zone == zone;
+          holders[layer] += data_centre == UINT32_MAX
+                            || fleet->engines[i].data_centre == data_centre;
         }
     }
   uint32_t fewest = UINT32_MAX;
@@ -120,17 +122,18 @@
 }
 
 /* The first plan of a cold start holds every layer in each data centre with
-   enough memory.  The cases are the users' two sites, a data centre that can't
-   hold the model alone, and a fleet that can't hold it at all.  */
+   enough memory.  The rows are two fleets of which each data centre can hold
+   the model, one in which two data centres can't hold it alone, and a fleet
+   that can't hold it at all.  */
 static void
 test_plan_cold_start (void **state)
 {
   (void)state;
   static const struct
   {
-    struct zone_counts zones[3];
-    uint32_t fewest_in[3]; /* holders of a layer, by data centre */
-    uint32_t fewest;       /* in all data centres */
+    struct data_centre_counts data_centres[3];
+    uint32_t fewest_in[3]; /* least holders of a layer, by data centre */
+    uint32_t fewest;       /* least holders in all data centres together */
   } rows[] = {
     { { { 1, 8, 5 }, { 3, 3, 5 }, { 1, 4, 8 } }, { 1, 1, 1 }, 3 },
     { { { 5, 0, 0 }, { 0, 8, 0 }, { 0, 0, 12 } }, { 1, 1, 1 }, 3 },
@@ -141,14 +144,14 @@
     {
       struct fleet fleet;
       struct rst_layers wanted[ENGINES_MAX];
-      build_fleet (&fleet, rows[i].zones, 3);
-      stp_plan (&spec, STP_DIVIDE_ANEW, fleet.zones, fleet.engines,
+      build_fleet (&fleet, rows[i].data_centres, 3);
+      stp_plan (&spec, STP_DIVIDE_ANEW, fleet.data_centre_count, fleet.engines,
                 fleet.count, wanted);
       assert_fits (&fleet, wanted);
-      for (uint32_t zone = 0; zone < 3; zone++)
+      for (uint32_t data_centre = 0; data_centre < 3; data_centre++)
         {
-          assert_true (fewest_holders (&fleet, wanted, zone)
-                       >= rows[i].fewest_in[zone]);
+          assert_true (fewest_holders (&fleet, wanted, data_centre)
+                       >= rows[i].fewest_in[data_centre]);
         }
       assert_true (fewest_holders (&fleet, wanted, UINT32_MAX)
                    >= rows[i].fewest);
@@ -170,28 +173,31 @@
 test_plan_is_stable (void **state)
 {
   (void)state;
-  static const struct zone_counts zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
+  static const struct data_centre_counts data_centres[]
+      = { { 1, 8, 5 }, { 3, 3, 5 } };
   struct fleet fleet;
   struct rst_layers wanted[ENGINES_MAX];
   struct rst_layers again[ENGINES_MAX];
-  build_fleet (&fleet, zones, 2);
+  build_fleet (&fleet, data_centres, 2);
   stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, wanted);
   apply_plan (&fleet, wanted);
   stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, again);
   assert_memory_equal (wanted, again, fleet.count * sizeof wanted[0]);
 }
 
-/* When any one engine is lost, orders to at most four others give every layer
-   a holder in each data centre.  When it comes back empty, it gets layers, and
-   every layer has at least two holders.  */
+/* When any one engine is lost, new layers for at most four others give every
+   layer a holder in each data centre.  When an engine restarts empty before
+   the others have changed, it gets layers, and every layer has at least two
+   holders.  */
 static void
 test_plan_engine_loss (void **state)
 {
   (void)state;
-  static const struct zone_counts zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
+  static const struct data_centre_counts data_centres[]
+      = { { 1, 8, 5 }, { 3, 3, 5 } };
   struct fleet fleet;
   struct rst_layers wanted[ENGINES_MAX];
-  build_fleet (&fleet, zones, 2);
+  build_fleet (&fleet, data_centres, 2);
   stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, wanted);
   apply_plan (&fleet, wanted);
   for (uint32_t lost = 0; lost < fleet.count; lost++)
@@ -209,9 +215,9 @@
                    != 0;
         }
       assert_true (moved <= 4);
-      for (uint32_t zone = 0; zone < 2; zone++)
+      for (uint32_t data_centre = 0; data_centre < 2; data_centre++)
         {
-          assert_true (fewest_holders (&after, next, zone) >= 1);
+          assert_true (fewest_holders (&after, next, data_centre) >= 1);
         }
       struct fleet empty = fleet;
       empty.engines[lost].held = (struct rst_layers){ 0, 0 };
@@ -221,8 +227,9 @@
     }
 }
 
-/* A new engine may be the replacement of one that is about to leave.  While it
-   is in reserve it only fills gaps, and replicates layers only afterwards.  */
+/* A new engine may be the replacement of one that is about to leave.  While
+   the new engine is in reserve, it gets layers only to fill a gap, here that
+   of an engine that has left; it replicates layers only afterwards.  */
 static void
 test_plan_new_engine (void **state)
 {
@@ -238,13 +245,15 @@
     { false, false, true },
     { false, true, true },
   };
-  static const struct zone_counts zones[] = { { 1, 8, 5 }, { 3, 3, 5 } };
+  static const struct data_centre_counts data_centres[]
+      = { { 1, 8, 5 }, { 3, 3, 5 } };
   struct fleet fleet;
   struct rst_layers wanted[ENGINES_MAX];
-  build_fleet (&fleet, zones, 2);
+  build_fleet (&fleet, data_centres, 2);
   stp_plan (&spec, STP_DIVIDE_ANEW, 2, fleet.engines, fleet.count, wanted);
   apply_plan (&fleet, wanted);
-  uint32_t leaving = 1; /* the first l4, the only holder of its layers */
+  uint32_t leaving = 1; /* the first l4, the only holder of its layers in
+                           its data centre */
   for (size_t i = 0; i < sizeof rows / sizeof rows[0]; i++)
     {
       struct fleet after = fleet;
@@ -256,7 +265,7 @@
         }
       uint32_t new_engine = after.count++;
       after.engines[new_engine]
-          = (struct stp_engine){ .zone = 0,
+          = (struct stp_engine){ .data_centre = 0,
                                  .memory_mb = l4.memory_mb,
                                  .step_factor = l4.step_factor,
                                  .movable = true,
@@ -273,14 +282,15 @@
     }
 }
 
-/* An engine that fills a gap of few layers also holds as many layers beside it
-   as its memory allows.  In a large fleet, a fast engine that filled a gap of
-   one layer held nothing else from then on.  */
+/* An engine that fills a gap of few layers also gets adjacent layers, as many
+   as its memory allows beside the KV cache.  Guards against a plan in which a
+   fast engine of a large fleet fills a gap of one layer and then holds nothing
+   else.  */
 static void
 test_plan_small_gap (void **state)
 {
   (void)state;
-  static const struct zone_counts zones[] = { { 4, 0, 0 } };
+  static const struct data_centre_counts data_centres[] = { { 4, 0, 0 } };
   static const struct
   {
     uint32_t first;
@@ -290,7 +300,7 @@
     {
       struct fleet fleet;
       struct rst_layers wanted[ENGINES_MAX];
-      build_fleet (&fleet, zones, 1);
+      build_fleet (&fleet, data_centres, 1);
       fleet.engines[0].held = (struct rst_layers){ 0, gaps[i].first };
       fleet.engines[1].held = (struct rst_layers){ gaps[i].end, LAYERS };
       fleet.engines[2].held = (struct rst_layers){ 0, gaps[i].first };
@@ -304,16 +314,17 @@
     }
 }
 
-/* Returns the smallest KV cache, in tokens, of the engines in ZONE that hold
-   layers.  */
+/* Returns the smallest KV cache, in tokens, of the engines in DATA_CENTRE that
+   hold layers.  */
 static double
-smallest_cache (const struct fleet *fleet, uint32_t zone)
+smallest_cache (const struct fleet *fleet, uint32_t data_centre)
 {
   double smallest = INFINITY;
   for (uint32_t i = 0; i < fleet->count; i++)
     {
       const struct stp_engine *engine = &fleet->engines[i];
-      if (engine->zone == zone && engine->held.end > engine->held.first)
+      if (engine->data_centre == data_centre
+          && engine->held.end > engine->held.first)
         {
           smallest
               = fmin (smallest, stp_cache_tokens (&spec, engine->memory_mb,
@@ -324,15 +335,15 @@
   return smallest;
 }
 
-/* A data centre that loses several engines keeps memory for a KV cache on each
-   of the others, instead of filling one of them up with layers.  */
+/* A data centre that loses one or more engines keeps memory for a KV cache on
+   each of the others, instead of filling one of them up with layers.  */
 static void
 test_plan_keeps_cache (void **state)
 {
   (void)state;
   static const struct
   {
-    struct zone_counts zone;
+    struct data_centre_counts data_centre;
     uint32_t losses;
     double cache_tokens;
   } rows[] = {
@@ -347,7 +358,7 @@
         {
           struct fleet fleet;
           struct rst_layers wanted[ENGINES_MAX];
-          build_fleet (&fleet, &rows[i].zone, 1);
+          build_fleet (&fleet, &rows[i].data_centre, 1);
           stp_plan (&spec, STP_DIVIDE_ANEW, 1, fleet.engines, fleet.count,
                     wanted);
           apply_plan (&fleet, wanted);
@@ -368,8 +379,8 @@
 #define TILES_MAX 5
 
 /* Ten layers, divided among engines that hold some of them already, and the
-   expected layers of each engine.  An empty range of the first one stands for
-   no division. */
+   expected layers of each engine, its tile.  An empty range of the first
+   engine means that no division is expected. */
 static const struct
 {
   const char *name;
@@ -428,10 +439,10 @@
 test_plan_unmovable (void **state)
 {
   (void)state;
-  static const struct zone_counts zones[] = { { 5, 0, 0 } };
+  static const struct data_centre_counts data_centres[] = { { 5, 0, 0 } };
   struct fleet fleet;
   struct rst_layers wanted[ENGINES_MAX];
-  build_fleet (&fleet, zones, 1);
+  build_fleet (&fleet, data_centres, 1);
   for (uint32_t i = 0; i < fleet.count; i++)
     {
       fleet.engines[i].movable = false;
@@ -445,8 +456,9 @@
 
 #define PATH_ENGINES_MAX 6
 
-/* Engines with their layers, data centre, usability and cost, and the expected
-   path as a list of ENGINE=FIRST-END, or NULL for none. */
+/* Engines with their layers, index of the data centre, usability and cost in
+   ms per layer, and the expected path as a list of ENGINE=FIRST-END, or NULL
+   for none. */
 struct path_row
 {
   const char *name;
@@ -499,7 +511,7 @@
   const struct pth_costs costs = {
     .layers = 10,
     .hop_ms = 0.3,
-    .zone_hop_ms = 20,
+    .data_centre_hop_ms = 20,
   };
   for (size_t i = 0; i < sizeof path_rows / sizeof path_rows[0]; i++)
     {
@@ -531,7 +543,7 @@
   (void)state;
   GRand *random = g_rand_new_with_seed (20261203);
   const struct pth_costs costs
-      = { .layers = LAYERS, .hop_ms = 0.3, .zone_hop_ms = 12 };
+      = { .layers = LAYERS, .hop_ms = 0.3, .data_centre_hop_ms = 12 };
   uint32_t found = 0;
   for (uint32_t trial = 0; trial < 400; trial++)
     {
@@ -542,7 +554,7 @@
           uint32_t span = (uint32_t)g_rand_int_range (random, 1, 21);
           engines[i] = (struct pth_engine){
             .held = { first, MIN (first + span, LAYERS) },
-            .zone = (uint32_t)g_rand_int_range (random, 0, 3),
+            .data_centre = (uint32_t)g_rand_int_range (random, 0, 3),
             .usable = g_rand_int_range (random, 0, 10) > 0,
             .layer_ms = g_rand_double_range (random, 0.02, 0.2),
           };
