--- a/src/core/bucket.c
+++ b/src/core/bucket.c
@@ -33,8 +33,8 @@
   bucket->level = MIN (level, depth);
 }
 
-/* Raises the bucket's depth to DEPTH, if it is smaller, and adds the
-   difference to the level.  */
+/* Raises the bucket's depth to DEPTH and its level by the difference.  Does
+   nothing when the bucket is as deep already.  */
 void
 bkt_grow_depth (struct bkt_bucket *bucket, double depth, int64_t now_us)
 {
--- a/src/core/confstate.c
+++ b/src/core/confstate.c
@@ -4,8 +4,8 @@
 #define CHECKPOINTS_PER_RETENTION 4
 #define HISTORY_MAX 32 /* versions */
 
-/* The daemon of rank N appends a checkpoint when it is overdue by N steps, of
-   which RANK_STEPS make up one checkpoint interval.  Ranks above RANK_MAX
+/* The daemon of rank N appends a checkpoint when the checkpoint is overdue by
+   N steps, each 1/RANK_STEPS of the checkpoint interval.  Ranks above RANK_MAX
    count as RANK_MAX. */
 #define RANK_STEPS 16
 #define RANK_MAX 15
@@ -139,7 +139,8 @@
 }
 
 /* Publishes an operator's configuration.  The action ACT_ANSWER_PUBLISH
-   reports the result, at once or after the record was read back from the log:
+   reports the result, at once, when the log rejects the append, when the
+   record is read back from the log or when it isn't read back in time:
    ERR_NONE, ERR_CONFIG_INVALID, ERR_CONFIG_STALE_BASE, ERR_LOG_UNAVAILABLE
    (not published and never will be), ERR_NOT_READY (the log's version isn't
    known yet) or ERR_APPEND_UNKNOWN (may or may not be published).  */
@@ -195,8 +196,9 @@
   g_ptr_array_remove (cst->publications, pending);
 }
 
-/* Appends a record that makes every reader ignore the publication unless its
-   own record comes earlier in the log.  */
+/* Queues the append of a withdrawal, which makes every reader ignore the
+   publication PENDING unless the publication's record precedes the withdrawal
+   in the log.  */
 static void
 append_withdrawal (struct cst *cst, struct cst_pending *pending,
                    int64_t now_us, struct act_list *actions)
@@ -208,8 +210,9 @@
   pending->withdraw_token = queue_append (cst, &record, actions);
 }
 
-/* Handles the successful append TOKEN.  A publication is answered only when
-   its record is read back from the log.  */
+/* Handles the end of the append that TOKEN identifies.  A publication isn't
+   answered here, but when its record is read back from the log, or by cst_tick
+   when that takes too long.  */
 void
 cst_append_done (struct cst *cst, uint64_t token, uint64_t offset,
                  int64_t now_us, struct act_list *actions)
@@ -223,8 +226,8 @@
     }
 }
 
-/* Handles the append TOKEN that the log rejected: its record is certainly not
-   in the log.  */
+/* Handles the rejection by the log of the append that TOKEN identifies: its
+   record is certainly not in the log.  */
 void
 cst_append_refused (struct cst *cst, uint64_t token, int64_t now_us,
                     struct act_list *actions)
@@ -242,9 +245,10 @@
     }
 }
 
-/* Handles the append TOKEN whose result is unknown.  A publication is answered
-   when its record is read back from the log; cst_tick withdraws it when that
-   takes too long.  */
+/* Handles the append that TOKEN identifies, whose result is unknown.  A
+   publication is answered when its record is read back from the log; if that
+   takes longer than read_back_timeout_us, cst_tick withdraws the
+   publication.  */
 void
 cst_append_unknown (struct cst *cst, uint64_t token, int64_t now_us,
                     struct act_list *actions)
@@ -253,7 +257,8 @@
 }
 
 /* Returns whether this daemon has to append a checkpoint now.  Daemons of a
-   higher rank wait longer, so that usually only one of them appends it.  */
+   higher rank wait longer, so that usually only one of them appends it.  The
+   current log time is extrapolated from that of the newest record.  */
 static bool
 checkpoint_is_due (const struct cst *cst, int64_t now_us)
 {
@@ -268,9 +273,10 @@
                 >= cst->params.read_back_timeout_us;
 }
 
-/* Appends a checkpoint: a copy of the current version that outlives the
-   retention of the original record.  Readers accept it only at the offset
-   NEXT_OFFSET.  */
+/* Queues the append of a checkpoint: a copy of the current version, which the
+   log still holds after the original record's retention has ended.  Readers
+   accept it only at the offset NEXT_OFFSET, so that no record precedes it that
+   this daemon has not read.  */
 static void
 append_checkpoint (struct cst *cst, int64_t now_us, struct act_list *actions)
 {
@@ -324,7 +330,7 @@
   cst->rank = rank;
 }
 
-/* Handles a message of a peer, at which VERSION is in force.  */
+/* Handles a message of a peer that has VERSION in force.  */
 void
 cst_peer_version (struct cst *cst, uint64_t version, int64_t now_us)
 {
@@ -416,7 +422,8 @@
   return g_ptr_array_index (cst->history, cst->history->len - 1 - index);
 }
 
-/* Returns how often the log contradicted a peer's copy or a checkpoint.  */
+/* Returns how often the configuration in the log differed from a peer's copy
+   or from a checkpoint.  */
 uint32_t
 cst_conflict_count (const struct cst *cst)
 {
--- a/src/core/confstate.h
+++ b/src/core/confstate.h
@@ -35,8 +35,8 @@
 {
   uint64_t request_id;   /* repeated in the answer */
   uint64_t base_version; /* the version that YAML was derived from */
-  /* 0; else the version to restore YAML as, after the log has lost every
-     configuration.  */
+  /* Version to restore YAML as, after the log has lost every configuration;
+     0 for an ordinary publication.  */
   uint64_t restore_version;
   const char *publisher;
   GBytes *yaml;
--- a/src/core/confstate_private.h
+++ b/src/core/confstate_private.h
@@ -35,10 +35,11 @@
   int64_t checkpoint_us;  /* log time of the newest checkpoint, else of the
                              first record that was read */
   int64_t newest_us;      /* log time of the newest record */
-  int64_t newest_read_us; /* when the newest record was read */
+  int64_t newest_read_us; /* monotonic time when the newest record was read */
   bool caught_up;         /* the end of the log was reached at least once */
   int64_t caught_up_us;   /* when it was reached last */
-  GArray *withdrawn;      /* struct cst_publication_id */
+  GArray *withdrawn;      /* struct cst_publication_id of publications whose
+                             withdrawal was read */
   GPtrArray *history;     /* struct cst_version, the newest one last */
   uint32_t conflicts;     /* between the log and peers or checkpoints */
   /* The configuration in force: the highest version of log and peers.  */
--- a/src/core/leaving.h
+++ b/src/core/leaving.h
@@ -1,8 +1,9 @@
 /* Tracks which endpoints are leaving the fleet.  There are three sources of
    such reports, called causes.  A report of any one cause that an endpoint is
    leaving closes the endpoint to new work.  The endpoint is open again once
-   newer reports have withdrawn every cause.  Daemons exchange the newest
-   report of each cause as a mark, so that all of them converge. */
+   newer reports have withdrawn every cause.  A mark holds the newest report of
+   one cause about one endpoint; daemons exchange their marks, so that all of
+   them converge.  Endpoints are identified by the name of their host. */
 #ifndef CORE_LEAVING_H
 #define CORE_LEAVING_H
 
@@ -11,9 +12,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* After an endpoint refused work as leaving, reports of "not leaving" from the
-   same incarnation are ignored for this time.  It is longer than the lag of
-   load reports, so a report that counts is newer than the refusal. */
+/* After an endpoint refused work as leaving or reported that it leaves,
+   reports of "not leaving" from the same incarnation are ignored for this
+   time.  It is longer than the lag of load reports, so a report that arrives
+   later was made after the refusal. */
 #define LV_REFUSAL_HOLD_US INT64_C (10000000)
 
 enum lv_cause
@@ -29,7 +31,8 @@
 struct lv_mark
 {
   uint64_t order;       /* LV_LIST: host list version; LV_DRAIN: configuration
-                           version; LV_ENDPOINT: counts the changes */
+                           version; LV_ENDPOINT: number of changes of
+                           LEAVING, here and at peers */
   uint64_t incarnation; /* of the endpoint; LV_ENDPOINT only; 0: unknown */
   enum lv_cause cause;
   char host[CFG_NAME_BYTES];
--- a/src/core/rank.h
+++ b/src/core/rank.h
@@ -1,5 +1,5 @@
-/* Lists of indices that are sorted by a key, ascending; entries with equal
-   keys are sorted by index. */
+/* Lists of indices that rk_sort sorts by a key, ascending, and by index where
+   keys are equal.  rk_at returns the index at a position of the list. */
 #ifndef CORE_RANK_H
 #define CORE_RANK_H
 
