--- a/src/core/burn.c
+++ b/src/core/burn.c
@@ -5,10 +5,11 @@
 #define SERIES_MAX_DEFAULT 8192
 #define CAUSES_MAX_DEFAULT 16384
 
-/* Duplicates are recognised for this many buckets of a daemon: two hours. */
+/* Duplicates are recognised for this many buckets of an incarnation of a
+   daemon: two hours. */
 #define DUPLICATE_WINDOW_BUCKETS 24
 
-/* Records of one bucket that were merged from one daemon. */
+/* Records of one bucket that were merged from one incarnation. */
 struct merged_bucket
 {
   uint32_t bucket;
@@ -38,7 +39,8 @@
   return objective_applies[work][objective];
 }
 
-/* Returns the index of OBJECTIVE in the counts of a period.  */
+/* Returns the index of OBJECTIVE in the counts of a period (see
+   BRN_COUNT_SLOTS).  */
 uint32_t
 brn_count_slot (enum brn_objective objective)
 {
@@ -69,7 +71,7 @@
          ^ (cause->cause.objective << 8) ^ cause->cause.error;
 }
 
-/* Returns true when LEFT and RIGHT differ in nothing but their counts.  */
+/* Returns true when LEFT and RIGHT are equal, their counts aside.  */
 bool
 brn_same_cause (const struct brn_cause *left, const struct brn_cause *right)
 {
@@ -134,8 +136,9 @@
   g_free (state);
 }
 
-/* Returns true for a cause that is older than the budget window; it is then
-   removed from the set, so its state's count of causes is decremented.  */
+/* Returns true for a cause that is older than the budget window before the
+   newest day.  As the caller then removes the cause from its set, this
+   decrements the count of causes of the state in DATA.  */
 static gboolean
 is_expired_cause (gpointer key, gpointer value, gpointer data)
 {
@@ -175,8 +178,8 @@
   return day + BRN_DAY_RING_LENGTH < state->newest_day;
 }
 
-/* Advances STATE to the day of BUCKET when that is a later one, and evicts
-   what is then too old for every report.  */
+/* Advances STATE to the day of BUCKET when that day is later than its newest
+   one, and evicts what is then too old for every report.  */
 void
 brn_advance_day (struct brn_state *state, uint32_t bucket)
 {
@@ -213,8 +216,8 @@
   return series;
 }
 
-/* Adds COUNTS to PERIOD in a ring buffer of LENGTH periods, unless a later
-   period has taken its element.  */
+/* Adds COUNTS to PERIOD in a ring buffer of LENGTH periods, unless the
+   element of PERIOD already counts a later period.  */
 static void
 add_to_ring (struct brn_period_counts *ring, uint32_t length, uint32_t period,
              enum brn_work work, const struct brn_count *counts)
@@ -241,7 +244,7 @@
     }
 }
 
-/* Adds CAUSE, of DAY, to SERIES, unless no report includes that day any more.
+/* Adds CAUSE, of DAY, to SERIES, if reports still include that day.
    A new cause is dropped and counted when there are too many already.  */
 static void
 add_cause (struct brn_state *state, struct brn_series *series, uint32_t day,
@@ -294,8 +297,8 @@
 
 /* Registers record SEQUENCE of BUCKET by INCARNATION as merged.  Returns
    BRN_MERGED when it was not registered before, BRN_DUPLICATE when it was, or
-   BRN_TOO_OLD when that is no longer known.  SEQUENCE has to be below
-   BRN_SEQUENCES_MAX.  */
+   BRN_TOO_OLD when the sequences of BUCKET are no longer kept.  SEQUENCE has
+   to be below BRN_SEQUENCES_MAX.  */
 enum brn_merge_result
 brn_register_sequence (struct brn_state *state, uint64_t incarnation,
                        uint32_t bucket, uint32_t sequence)
@@ -329,10 +332,12 @@
 }
 
 /* Adds RECORD, of any daemon, to STATE.  Merging is commutative and
-   idempotent: neither the order of records nor duplicates change the report.
-   Returns BRN_MERGED, or why the record was not merged.  A record that is two
-   hours or more older than another one of the same daemon may be rejected as
-   too old, since duplicates are recognised for two hours only.  */
+   idempotent: neither the order of records nor duplicates change the report,
+   with two exceptions.  A record that is two hours or more older than another
+   one of the same incarnation may be rejected as too old, since duplicates are
+   recognised for two hours only; and at the limits on series and causes, those
+   that came first are kept.  Returns BRN_MERGED, or why the record was not
+   merged.  */
 enum brn_merge_result
 brn_merge (struct brn_state *state, const struct brn_record *record)
 {
--- a/src/core/division.c
+++ b/src/core/division.c
@@ -3,17 +3,18 @@
 #include "core/problem.h"
 #include "core/routing.h"
 
-/* Candidates are made for 1 up to this many segments in each host's memory. */
+/* Divisions are made for 1 up to this many segments in each host's memory. */
 #define SEGMENTS_PER_HOST_MAX 4
 /* Limit on the number of memory classes: each class but the last has at least
    1/CLASSES_MAX of the hosts. */
 #define CLASSES_MAX 6
 
-/* The usable hosts with about the same memory. */
+/* Usable hosts that are next to each other in the order of their memory.  A
+   layer-token is one layer run for one token. */
 struct memory_class
 {
-  uint32_t memory_mib; /* of the smallest host */
-  double rate;         /* of all hosts, in layer-tokens per second */
+  uint32_t memory_mib; /* of the host with the least memory */
+  double rate;         /* sum over its hosts, in layer-tokens per second */
 };
 
 static gint
@@ -26,7 +27,7 @@
 
 /* Returns the memory classes of the usable hosts, least memory first.  A host
    with more memory starts a new class only when the current one has at least
-   1/CLASSES_MAX of all hosts; otherwise it joins the current class.  */
+   1/CLASSES_MAX of all usable hosts; otherwise it joins the current class.  */
 static GArray *
 list_classes (const struct cfg_config *config, const bool *usable)
 {
@@ -94,12 +95,14 @@
   return count;
 }
 
-/* Returns a division of all models among the CLASSES from index SMALLEST on.
-   Each class gets a number of layers in proportion to its rate, in segments
-   that need at most 1/SEGMENTS_PER_HOST of its memory, so that hosts with
-   little memory hold short segments and others long ones.  The layers of a
-   class that lacks the memory for one layer go to the next class.  Returns
-   NULL when a model does not fit or takes more than RT_CHAIN_MAX segments.  */
+/* Returns a division of all models into segments sized for the CLASSES from
+   index SMALLEST on, the class with the least memory per host.  Each class
+   gets a number of layers in proportion to its rate, in segments that need at
+   most 1/SEGMENTS_PER_HOST of the memory of its smallest host, so that hosts
+   with little memory hold short segments and others long ones.  The layers of
+   a class for which one layer exceeds that share go to the next class.
+   Returns NULL when a layer exceeds the share of the last class or a model
+   takes more than RT_CHAIN_MAX segments.  */
 static GArray *
 divide_models (const struct cfg_config *config, const GArray *classes,
                uint32_t smallest, uint32_t segments_per_host)
@@ -151,11 +154,11 @@
   return a->len < b->len ? -1 : a->len > b->len;
 }
 
-/* Returns the divisions that are worth a trial, as arrays of struct
-   pb_segment, fewest segments first.  For each memory class and number of
-   segments per host, these are the division by that class alone and the one by
-   that class and all larger ones.  The caller frees the outer array and owns
-   the inner ones.  */
+/* Returns the divisions that a search for a placement should try, as arrays of
+   struct pb_segment, fewest segments first.  For each memory class and number
+   of segments per host, these are the division for that class alone and the
+   one for that class and all classes with more memory per host.  The caller
+   frees the outer array and owns the inner ones.  */
 GPtrArray *
 dv_list (const struct cfg_config *config, const bool *usable)
 {
--- a/src/operator/operator.h
+++ b/src/operator/operator.h
@@ -20,8 +20,8 @@
   const char *publisher; /* named by the client; "": none */
 };
 
-/* The decision of an operator on an idempotency key of which it is unknown
-   whether its call was executed. */
+/* An operator's decision on a call with an idempotency key, when it is unknown
+   whether the call was executed. */
 struct opr_settle
 {
   const char *account;
@@ -33,7 +33,10 @@
 
 /* Callbacks into the daemon, called on threads of the server.  They return
    JSON that the caller owns, or true for success.  A callback that returns
-   NULL or false sets FAILURE; those without FAILURE always return JSON. */
+   NULL or false sets FAILURE; those without FAILURE always return JSON.
+   config_publish and drain set VERSION to the configuration version that they
+   published.  unknown_keys lists the idempotency keys whose calls may or may
+   not have been executed; report is the report on service-level objectives. */
 struct opr_backend
 {
   json_t *(*status) (void *user_data);
--- a/test/record_test.c
+++ b/test/record_test.c
@@ -1,4 +1,5 @@
-/* Tests of the encoding of log records, whole and malformed. */
+/* Tests of the encoding of log records: intact, truncated and malformed ones.
+   A batch is a record that holds entries. */
 #include "core/record.h"
 #include "record.pb-c.h"
 
--- a/test/shared_load_test.c
+++ b/test/shared_load_test.c
@@ -13,7 +13,8 @@
 #define STEP_LONG_US 1100
 
 /* Sends and finishes STEPS steps, of which every tenth fails.  DATA is the
-   shared load.  */
+   shared load.  The loop index also serves as the current time in
+   microseconds.  */
 static gpointer
 run_steps (gpointer data)
 {
