--- a/src/entry/fleet_state.c
+++ b/src/entry/fleet_state.c
@@ -513,7 +513,7 @@
    false when there is no path.  */
 static bool
 add_path (GPtrArray *paths, const struct flt_engine_spec *engine,
-          const GPtrArray *engines, struct pth_engine *cards)
+          const GPtrArray *engines, struct pth_engine *path_engines)
 {
   const struct pth_costs costs = {
     .layers = engine->layers,
@@ -521,7 +521,7 @@
     .data_centre_hop_ms = DATA_CENTRE_HOP_MS,
   };
   struct pth_path found;
-  if (!pth_find (&costs, cards, engines->len, &found))
+  if (!pth_find (&costs, path_engines, engines->len, &found))
     {
       return false;
     }
@@ -536,7 +536,7 @@
     }
   for (uint32_t i = 0; i < found.count; i++)
     {
-      cards[found.parts[i].engine].layer_ms *= REUSE_FACTOR;
+      path_engines[found.parts[i].engine].layer_ms *= REUSE_FACTOR;
     }
   return true;
 }
@@ -625,8 +625,9 @@
 /* Describes the engine ENDPOINT to the path search.  One that is in back-off
    is used as a LAST_RESORT only.  */
 static struct pth_engine
-make_card (const struct flt_engine_spec *engine, struct fst_endpoint *endpoint,
-           bool last_resort, int64_t now_us)
+make_path_engine (const struct flt_engine_spec *engine,
+                  struct fst_endpoint *endpoint, bool last_resort,
+                  int64_t now_us)
 {
   bool usable = evd_usable (&endpoint->evidence, now_us)
                 || endpoint->evidence.state == EVD_PROBING;
@@ -647,29 +648,30 @@
   const struct flt_engine_spec *engine
       = &fleet->view->config->services[index].engine;
   GPtrArray *engines = g_ptr_array_new ();
-  GArray *cards = g_array_new (FALSE, FALSE, sizeof (struct pth_engine));
+  GArray *path_engines
+      = g_array_new (FALSE, FALSE, sizeof (struct pth_engine));
   for (guint i = 0; i < fleet->ordered->len; i++)
     {
       struct fst_endpoint *endpoint = g_ptr_array_index (fleet->ordered, i);
       if (endpoint->service == index && endpoint->listed)
         {
-          struct pth_engine card
-              = make_card (engine, endpoint, last_resort, now_us);
-          g_array_append_val (cards, card);
+          struct pth_engine path_engine
+              = make_path_engine (engine, endpoint, last_resort, now_us);
+          g_array_append_val (path_engines, path_engine);
           g_ptr_array_add (engines, endpoint);
         }
     }
   uint32_t searches = PATHS_PER_DATA_CENTRE * fleet->data_centres->len;
-  while (
-      searches > 0
-      && add_path (paths, engine, engines, (struct pth_engine *)cards->data))
+  while (searches > 0
+         && add_path (paths, engine, engines,
+                      (struct pth_engine *)path_engines->data))
     {
       searches--;
     }
   remove_crossing_paths (paths);
   divide_capacity (engine, paths, engines);
   g_ptr_array_free (engines, TRUE);
-  g_array_free (cards, TRUE);
+  g_array_free (path_engines, TRUE);
 }
 
 /* Computes the paths of the service INDEX.  Engines in back-off are used only
