--- a/soak/injector.c
+++ b/soak/injector.c
@@ -257,7 +257,7 @@
   disruption->ended = true;
 }
 
-/* Makes the engines or the services mishandle a record_index of their next
+/* Makes the engines or the services mishandle a random number of their next
    requests.  */
 static void
 step_endpoint_fault (struct stb_injector *injector,
