--- a/src/base/error.c
+++ b/src/base/error.c
@@ -2,7 +2,7 @@
 
 /* The kinds' names and HTTP statuses are part of the API.  Entries leave out
    `ran' when it is ERR_RAN_NO and `retry_after_s' when it is 0. */
-static const struct err_info answers[ERR_KIND_COUNT] = {
+static const struct err_info infos[ERR_KIND_COUNT] = {
   [ERR_NONE] = { .name = "none",
                  .http_status = 200,
                  .ran = ERR_RAN_YES,
@@ -137,9 +137,9 @@
 {
   if (kind >= ERR_KIND_COUNT)
     {
-      return &answers[ERR_INTERNAL];
+      return &infos[ERR_INTERNAL];
     }
-  return &answers[kind];
+  return &infos[kind];
 }
 
 /* Returns the value of the `ran' field of an error body: "no", "yes" or
