--- a/src/core/evidence.c
+++ b/src/core/evidence.c
@@ -59,16 +59,16 @@
     }
 }
 
-/* Records a failed request that shows PROOF.  Returns whether the failure
-   starts a backoff.  */
+/* Records a request that ended in a failure of KIND.  Returns whether the
+   failure starts a backoff.  */
 bool
-evd_failure (struct evd_evidence *evidence, enum evd_failure_kind proof,
+evd_failure (struct evd_evidence *evidence, enum evd_failure_kind kind,
              int64_t now_us)
 {
-  bool conclusive = proof != EVD_INCONCLUSIVE;
-  if (proof == EVD_DEAD || proof == EVD_REFUSING)
+  bool conclusive = kind != EVD_INCONCLUSIVE;
+  if (kind == EVD_DEAD || kind == EVD_REFUSING)
     {
-      evidence->dead = proof == EVD_DEAD;
+      evidence->dead = kind == EVD_DEAD;
     }
   evidence->failure_rate
       = evidence->failure_rate * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
--- a/src/entry/fleet_state.h
+++ b/src/entry/fleet_state.h
@@ -69,7 +69,7 @@
                                        uint32_t service, const char *address);
 void fst_report_failure (struct fst_fleet *fleet,
                          struct fst_endpoint *endpoint,
-                         enum evd_failure_kind proof, const char *reason,
+                         enum evd_failure_kind kind, const char *reason,
                          int64_t now_us);
 void fst_report_success (struct fst_fleet *fleet,
                          struct fst_endpoint *endpoint, int64_t latency_us);
--- a/test/limits_test.c
+++ b/test/limits_test.c
@@ -210,7 +210,7 @@
   (void)state;
   static const struct
   {
-    enum evd_failure_kind proofs[3];
+    enum evd_failure_kind kinds[3];
     uint32_t count;
     bool success; /* a success follows the failures */
     bool dead;
@@ -232,7 +232,7 @@
       struct evd_evidence evidence = { 0 };
       for (uint32_t n = 0; n < rows[i].count; n++)
         {
-          evd_failure (&evidence, rows[i].proofs[n], S_US);
+          evd_failure (&evidence, rows[i].kinds[n], S_US);
         }
       if (rows[i].success)
         {
