--- a/src/core/burn_outbox.c
+++ b/src/core/burn_outbox.c
@@ -9,8 +9,8 @@
 #define RETRY_MIN_US (1 * SECOND_US)
 #define RETRY_MAX_US (60 * SECOND_US)
 
-/* Records kept while the log is unavailable: one for each bucket of 12
-   hours. */
+/* Records kept while the log is unavailable: 12 hours' worth, one for each
+   five-minute bucket. */
 #define CLOSED_RECORDS_MAX 144
 
 /* Drops the oldest records when more than CLOSED_RECORDS_MAX are not confirmed
--- a/src/entry/fleet_state.c
+++ b/src/entry/fleet_state.c
@@ -811,16 +811,16 @@
 }
 
 /* Records a failure of KIND at ENDPOINT; REASON goes into the log.
-   Paths are computed again if the endpoint goes into back-off.  */
+   Paths are computed again if the endpoint goes into backoff.  */
 void
 fst_report_failure (struct fst_fleet *fleet, struct fst_endpoint *endpoint,
                     enum evd_failure_kind kind, const char *reason,
                     int64_t now_us)
 {
   bool was_dead = endpoint->evidence.dead;
-  bool in_back_off = evd_failure (&endpoint->evidence, kind, now_us);
+  bool in_backoff = evd_failure (&endpoint->evidence, kind, now_us);
   publish_verdict (fleet, endpoint, was_dead);
-  if (!in_back_off)
+  if (!in_backoff)
     {
       return;
     }
