--- a/src/entry/fleet_state.c
+++ b/src/entry/fleet_state.c
@@ -19,7 +19,7 @@
 #define UNPROVEN_FACTOR 3.0
 
 /* Paths are computed again after this time even if the view hasn't changed,
-   since endpoints become usable again when their back-off ends. */
+   since endpoints become usable again when their backoff ends. */
 #define PATHS_VALID_US (200 * CLK_MS_US)
 
 /* Number of path searches for each data centre, and the factor by which an
@@ -380,7 +380,7 @@
 }
 
 /* Returns the endpoint of the plain service SERVICE with the lowest cost that
-   isn't among TRIED, or NULL.  One that is in back-off is used as a
+   isn't among TRIED, or NULL.  One that is in backoff is used as a
    LAST_RESORT only.  */
 static struct fst_endpoint *
 cheapest_endpoint (struct fst_fleet *fleet, uint32_t service,
@@ -622,7 +622,7 @@
   g_free (capacities);
 }
 
-/* Describes the engine ENDPOINT to the path search.  One that is in back-off
+/* Describes the engine ENDPOINT to the path search.  One that is in backoff
    is used as a LAST_RESORT only.  */
 static struct pth_engine
 make_path_engine (const struct flt_engine_spec *engine,
@@ -674,7 +674,7 @@
   g_array_free (path_engines, TRUE);
 }
 
-/* Computes the paths of the service INDEX.  Engines in back-off are used only
+/* Computes the paths of the service INDEX.  Engines in backoff are used only
    if there is no path without them.  */
 static void
 find_paths (struct fst_fleet *fleet, uint32_t index,
--- a/test/entry_test.c
+++ b/test/entry_test.c
@@ -418,7 +418,7 @@
   g_string_free (expected, TRUE);
 }
 
-/* Clears all faults and sends requests until endpoints that are in back-off
+/* Clears all faults and sends requests until endpoints that are in backoff
    have proved that they work.  */
 static void
 restore_endpoints (struct fixture *fixture)
