--- a/src/core/room.c
+++ b/src/core/room.c
@@ -90,7 +90,7 @@
     }
 }
 
-/* Sets `room' of each path in PATHS to its max-min fair share of
+/* Sets `capacity' of each path in PATHS to its max-min fair share of
    CAPACITIES.  */
 void
 rom_divide (const double *capacities, uint32_t capacity_count,
--- a/src/net/server.c
+++ b/src/net/server.c
@@ -91,8 +91,8 @@
   g_free (connection);
 }
 
-/* Closes CONNECTION, with a TCP reset when RESET is true.  Calls `gone' for
-   the current request, if any, when NOTIFY is true.  */
+/* Closes CONNECTION, with a TCP reset when RESET is true.  Calls
+   `disconnected' for the current request, if any, when NOTIFY is true.  */
 static void
 close_connection (struct nsv_connection *connection, bool reset, bool notify)
 {
@@ -517,7 +517,7 @@
   uv_close ((uv_handle_t *)&server->listener, on_listener_closed);
 }
 
-/* Replaces the limits of SERVER.  Open connections keep `silence_ms'.  */
+/* Replaces the limits of SERVER.  Open connections keep `user_timeout_ms'.  */
 void
 nsv_set_limits (struct nsv_server *server, const struct nsv_limits *limits)
 {
@@ -593,7 +593,7 @@
   return server->request_count;
 }
 
-/* Sets the context of `gone' and `drained' for the current request.  */
+/* Sets the context of `disconnected' and `drained' for the current request. */
 void
 nsv_set_request_context (struct nsv_connection *connection,
                          void *request_context)
